--- a/balance/balance.go
+++ b/balance/balance.go
@@ -34,10 +34,10 @@
 	margin            = time.Millisecond       // answers of our own leave this long before patience ends
 )
 
-// Members takes the list's word on workers.
-func (b *Balancer) Members(now time.Duration, how ListKind, list []Member) {
+// UpdateMembers takes the list's word on workers.
+func (b *Balancer) UpdateMembers(now time.Duration, how UpdateKind, list []Member) {
 	b.now = now
-	if how == ListFailed { // keep the old list: an unreachable list empties no fleet
+	if how == UpdateFailed { // keep the old list: an unreachable list empties no fleet
 		b.askGap = max(firstRetry, min(2*b.askGap, b.askMost()))
 		// Dispatchers that started together would ask again together, and a list service that
 		// turns callers away would meet the same herd each time: each waits its own share.
@@ -46,20 +46,20 @@
 		return
 	}
 	b.since = min(b.since, now)
-	if how != ListChange { // a worker left out is gone
+	if how != UpdateDelta { // a worker left out is gone
 		for _, w := range b.workers {
-			w.Condition = Gone
+			w.State = Gone
 		}
 	}
 	for _, m := range list {
 		b.member(m)
 	}
 	b.purge()
-	b.largeFleet = b.s.Fleet > largeFleetAbove
-	if how == ListCached && b.s.AskList {
+	b.largeFleet = b.s.FleetSize > largeFleetAbove
+	if how == UpdateCached && b.s.PullMembers {
 		b.ask()
-		if b.s.Peers && !b.largeFleet {
-			b.host.Tell(Everyone, []byte{helloMessage})
+		if b.s.AllowPeerMessages && !b.largeFleet {
+			b.host.SendToPeer(AllPeers, []byte{helloMessage})
 		}
 	} else {
 		b.askGap, b.askAgain = 0, 0
@@ -73,22 +73,22 @@
 	b.askAgain = b.now + 4*time.Second // should even the failure be lost
 }
 
-// Request takes a new job.
-func (b *Balancer) Request(now time.Duration, r Job) {
+// SubmitJob takes a new job.
+func (b *Balancer) SubmitJob(now time.Duration, r Job) {
 	b.now = now
 	if r.Class < 0 || r.Class >= len(b.classes) || b.jobs[r.ID] != nil {
 		return
 	}
 	c := &b.classes[r.Class]
-	j := &job{Job: r, c: c, end: now + r.Patience, born: now - max(0, c.Deadline-r.Patience)}
-	if e := r.Earlier; e != nil { // a repeat must be as harmless as if it were ours
+	j := &job{Job: r, c: c, end: now + r.ClientTimeout, born: now - max(0, c.Deadline-r.ClientTimeout)}
+	if e := r.PriorAttempt; e != nil { // a repeat must be as harmless as if it were ours
 		w := &worker{Member: Member{Zone: e.Zone, Cell: e.Cell}}
-		j.earlier = &attempt{j: j, no: -1, w: w, sent: now - e.Ago, done: true, ran: true}
+		j.earlier = &attempt{j: j, no: -1, w: w, sent: now - e.Age, done: true, ran: true}
 	}
 	budgeted := false
-	if b.shares != nil && r.Earlier == nil { // one that may have run was admitted then
+	if b.shares != nil && r.PriorAttempt == nil { // one that may have run was admitted then
 		ok, wait := true, time.Duration(0)
-		if budgeted, ok, wait = b.shares.First(r.Tenant, b.sizeOf(j)); !ok { // it has been sent nowhere
+		if budgeted, ok, wait = b.shares.Admit(r.Tenant, b.sizeOf(j)); !ok { // it has been sent nowhere
 			b.host.Refuse(r.ID, min(max(wait, leastBack), b.s.MaxRetryAfter))
 			return
 		}
@@ -99,22 +99,22 @@
 	}
 	b.enqueue(j)
 	switch {
-	case b.largeFleet && (b.s.Probes || b.s.Peers && !j.movable()):
+	case b.largeFleet && (b.s.AllowProbes || b.s.AllowPeerMessages && !j.movable()):
 		j.hold = now + 3*b.s.Tick
-		if !b.s.Probes {
+		if !b.s.AllowProbes {
 			j.hold = now + asking*b.s.Tick
 		}
 		b.schedule()
 		b.probeSome(j)
 		return
-	case b.s.Probes:
+	case b.s.AllowProbes:
 		b.probeOne()
 	}
 	b.schedule()
 }
 
-// Timer takes a timer that the Balancer set.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+// TimerFired takes a timer that the Balancer set.
+func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	b.now = now
 	if token != b.token {
 		return
@@ -123,8 +123,8 @@
 	b.schedule()
 }
 
-// Gone takes word that the client of a job has left.
-func (b *Balancer) Gone(now time.Duration, id JobID) {
+// ClientGone takes word that the client of a job has left.
+func (b *Balancer) ClientGone(now time.Duration, id JobID) {
 	b.now = now
 	if j := b.jobs[id]; j != nil && !j.over {
 		b.finish(j)
@@ -132,8 +132,8 @@
 	}
 }
 
-// First takes word that a streamed answer has begun: the job is the client's.
-func (b *Balancer) First(now time.Duration, id JobID, no int) {
+// StreamStarted takes word that a streamed answer has begun: the job is the client's.
+func (b *Balancer) StreamStarted(now time.Duration, id JobID, no int) {
 	b.now = now
 	j := b.jobs[id]
 	if j == nil || j.over || no < 0 || no >= len(j.attempts) {
@@ -144,8 +144,8 @@
 	b.schedule()
 }
 
-// Note takes a worker's word about a job that is out.
-func (b *Balancer) Note(now time.Duration, id JobID, no int, what NoteKind, share float64) {
+// AttemptEvent takes a worker's word about a job that is out.
+func (b *Balancer) AttemptEvent(now time.Duration, id JobID, no int, what EventKind, share float64) {
 	b.now = now
 	j := b.jobs[id]
 	if j == nil || no < 0 || no >= len(j.attempts) || j.attempts[no].done {
@@ -156,7 +156,7 @@
 	if !a.started {
 		b.begin(j, a)
 	}
-	if what == NoteProgress && share > a.share && share <= 1 {
+	if what == EventProgress && share > a.share && share <= 1 {
 		a.share = share
 		if !a.sampled && share > 0.02 {
 			b.sample(j, a, (now-a.begun).Seconds()/share)
@@ -204,8 +204,8 @@
 	}
 }
 
-// Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, r Result) {
+// AttemptDone takes the end of an attempt.
+func (b *Balancer) AttemptDone(now time.Duration, r AttemptResult) {
 	b.now = now
 	j := b.jobs[r.Job]
 	if j == nil || r.Attempt < 0 || r.Attempt >= len(j.attempts) || j.attempts[r.Attempt].done {
@@ -213,7 +213,7 @@
 	}
 	a := j.attempts[r.Attempt]
 	b.release(j, a)
-	j.unfit = j.unfit || r.Status == StatusUnfit
+	j.unfit = j.unfit || r.Status == StatusInvalid
 	a.ran = !r.Status.NeverRan()
 	a.unreached = r.Status == StatusUnreachable
 	b.judge(j, a, r)
@@ -222,7 +222,7 @@
 		b.freed(a.w, signEnd) // the report is older than the slot that came free
 	}
 	switch {
-	case r.Closed && !j.over:
+	case r.JobDone && !j.over:
 		b.finish(j)
 	case !j.over && j.out == 0:
 		b.unlist(j)
@@ -236,7 +236,7 @@
 
 // judge learns from an end: speed from finished work, health from the way of
 // ending.
-func (b *Balancer) judge(j *job, a *attempt, r Result) {
+func (b *Balancer) judge(j *job, a *attempt, r AttemptResult) {
 	w := a.w
 	switch r.Status {
 	case StatusOK:
@@ -245,10 +245,10 @@
 		}
 		run := (b.now - a.begun).Seconds()
 		size := run / b.slow(w)
-		if j.Hint > 0 {
-			size = j.Hint.Seconds()
+		if j.ExpectedWork > 0 {
+			size = j.ExpectedWork.Seconds()
 		}
-		if r.Closed && !j.over && (b.now-j.born).Seconds() <= j.c.Aim.Seconds()+j.c.Stretch*size {
+		if r.JobDone && !j.over && (b.now-j.born).Seconds() <= j.c.Target.Seconds()+j.c.Stretch*size {
 			j.c.inTime += b.weight(j)
 		}
 		b.sample(j, a, run)
@@ -260,7 +260,7 @@
 		if w.errors > failing {
 			b.hold(w, b.meanRun(), "errors")
 		}
-	case StatusUnfit:
+	case StatusInvalid:
 		// The job is at fault, so its worker must not be held back for it, or a few bad
 		// clients would shut a sound fleet. One that takes nothing else is at fault itself.
 		w.errors += (1 - w.errors) / 16
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -67,13 +67,13 @@
 	r.act("fail %d", j)
 }
 
-func (r *recorder) Wake(d time.Duration, t uint64) {
+func (r *recorder) SetTimer(d time.Duration, t uint64) {
 	r.wake, r.token = d, t
 	r.act("wake %v %d", d, t)
 }
 func (r *recorder) Watch() { r.watches++; r.act("watch") }
 func (r *recorder) Fetch() { r.act("fetch") }
-func (r *recorder) Tell(to int, b []byte) {
+func (r *recorder) SendToPeer(to int, b []byte) {
 	r.told = append(r.told, append([]byte(nil), b...))
 	r.act("tell %x", b)
 }
@@ -83,15 +83,15 @@
 func (r *recorder) sentTo(j JobID) int { return r.tries[j] }
 
 func settings() Settings {
-	class := func(e Effect, g Group) Class {
-		return Class{Aim: 300 * ms, Stretch: 2, Deadline: 8 * time.Second, Worth: 1, Effect: e, Group: g,
-			Span: 5 * time.Second, Kind: -1}
+	class := func(e Idempotency, g DedupScope) Class {
+		return Class{Target: 300 * ms, Stretch: 2, Deadline: 8 * time.Second, Worth: 1, Idempotency: e, DedupScope: g,
+			DedupWindow: 5 * time.Second, WorkerKind: -1}
 	}
-	return Settings{Seed: 1, Fleet: 1, Kinds: 2, MaxAttempts: 4, Cancel: true, SecondCopies: true,
-		ConnectTimeout: 250 * ms, Tick: 4 * ms, TellsStart: true, ColdFrom: 0.3,
-		WarmUp: 10 * time.Second, FallFactor: 3, FallSpan: 2 * time.Second, AskWithin: 10 * time.Second,
-		Classes: []Class{class(Safe, GroupAll), class(Keyed, GroupCell), class(Unsafe, GroupAll),
-			class(Keyed, GroupAll), class(Keyed, GroupZone)}}
+	return Settings{Seed: 1, FleetSize: 1, WorkerKinds: 2, MaxAttempts: 4, AllowCancel: true, AllowCopies: true,
+		ConnectTimeout: 250 * ms, Tick: 4 * ms, ReportsStart: true, ColdCapacity: 0.3,
+		WarmUp: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second, PullInterval: 10 * time.Second,
+		Classes: []Class{class(Idempotent, ScopeFleet), class(Deduplicated, ScopeCell), class(NonIdempotent, ScopeFleet),
+			class(Deduplicated, ScopeFleet), class(Deduplicated, ScopeZone)}}
 }
 
 const (
@@ -115,17 +115,17 @@
 	for i := range n {
 		list = append(list, Member{ID: WorkerID(i + 1), Weight: 1, Cell: i / 2, Zone: i / 4})
 	}
-	b.Members(time.Second, ListFull, list)
+	b.UpdateMembers(time.Second, UpdateFull, list)
 	return b, r
 }
 
 func request(b *Balancer, at time.Duration, id JobID, class int) {
-	b.Request(at, Job{ID: id, Class: class, Tenant: -1, Patience: 8 * time.Second, Slots: 1})
+	b.SubmitJob(at, Job{ID: id, Class: class, Tenant: -1, ClientTimeout: 8 * time.Second, Slots: 1})
 }
 
 func end(b *Balancer, at time.Duration, s sent, st Status) {
-	b.Outcome(at, Result{Job: s.job, Attempt: s.attempt, Worker: s.to, Status: st, Closed: st == StatusOK,
-		Report: NoReport()})
+	b.AttemptDone(at, AttemptResult{Job: s.job, Attempt: s.attempt, Worker: s.to, Status: st, JobDone: st == StatusOK,
+		Report: NoLoadReport()})
 }
 
 func TestLightLoadNothingWaits(t *testing.T) {
@@ -171,7 +171,7 @@
 		{"unsafe cancelled", unsafe, StatusCancelled, false, "failed"},
 		{"unsafe full", unsafe, StatusFull, true, ""},
 		{"unsafe unreachable", unsafe, StatusUnreachable, true, ""},
-		{"unsafe moot", unsafe, StatusMoot, true, ""},
+		{"unsafe moot", unsafe, StatusNotSent, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, r := fixture(t, settings(), 8)
@@ -190,7 +190,7 @@
 
 func TestKeyedSpanEnds(t *testing.T) {
 	s := settings()
-	s.Classes[keyedCell].Aim = 20 * time.Second // so that it is not shed as minChance
+	s.Classes[keyedCell].Target = 20 * time.Second // so that it is not shed as minChance
 	b, r := fixture(t, s, 8)
 	request(b, time.Second, 1, keyedCell)
 	end(b, 1*time.Second+5*time.Second, r.last(), StatusReset)
@@ -219,7 +219,7 @@
 	at := time.Second
 	for i := 0; i < 100 && r.answers[1] == ""; i++ {
 		at += r.wake
-		b.Timer(at, r.token)
+		b.TimerFired(at, r.token)
 	}
 	if r.answers[1] == "" || at > 9*time.Second {
 		t.Fatalf("no answer by %v", at)
@@ -227,16 +227,16 @@
 }
 
 func TestDrainIsKept(t *testing.T) {
-	for _, c := range []Condition{Draining, Gone} {
+	for _, c := range []WorkerState{Draining, Gone} {
 		b, r := fixture(t, settings(), 1)
-		b.Members(time.Second, ListChange, []Member{{ID: 1, Condition: c}})
+		b.UpdateMembers(time.Second, UpdateDelta, []Member{{ID: 1, State: c}})
 		request(b, time.Second, 1, safe)
 		if len(r.sends) != 0 {
 			t.Fatalf("condition %d: sends %v", c, r.sends)
 		}
 	}
 	b, r := fixture(t, settings(), 2)
-	b.Members(time.Second, ListFull, []Member{{ID: 2}}) // 1 is missing, so it is gone
+	b.UpdateMembers(time.Second, UpdateFull, []Member{{ID: 2}}) // 1 is missing, so it is gone
 	request(b, time.Second, 1, safe)
 	request(b, time.Second, 2, safe)
 	for _, s := range r.sends {
@@ -248,16 +248,16 @@
 
 func TestUnreachableListEmptiesNothing(t *testing.T) {
 	s := settings()
-	s.AskList = true
+	s.PullMembers = true
 	b, r := fixture(t, s, 2)
-	b.Members(time.Second, ListFailed, nil)
+	b.UpdateMembers(time.Second, UpdateFailed, nil)
 	request(b, time.Second, 1, safe)
 	if len(r.sends) != 1 {
 		t.Fatal("a failed inquiry emptied the fleet")
 	}
 	for i, at := 0, time.Second; i < 4; i++ {
 		at += r.wake
-		b.Timer(at, r.token)
+		b.TimerFired(at, r.token)
 	}
 	if r.watches == 0 {
 		t.Fatal("not asked again")
@@ -272,7 +272,7 @@
 	for i, fleet := range []int{1, 2, 3, 20, 80, 1, 2, 3, 20, 80} {
 		restarts := i > 4
 		s := settings()
-		s.Fleet = fleet
+		s.FleetSize = fleet
 		var bs []*Balancer
 		var rs []*recorder
 		for range fleet {
@@ -285,7 +285,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				b.Members(at, ListFull, []Member{{ID: 1, Weight: 1, Started: 99 * time.Second}})
+				b.UpdateMembers(at, UpdateFull, []Member{{ID: 1, Weight: 1, StartedAt: 99 * time.Second}})
 				b.byID[1].slots = 4
 				bs[i] = b
 			}
@@ -334,7 +334,7 @@
 // + 1/1.2 = 1.25, the bound under which AdaRep's own 1.2185 of equation (10) stays.
 func TestThresholdsOfThePapersExample(t *testing.T) {
 	x1, x2 := []float64{2}, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 20}
-	out, back := Thresholds(x1, x2, []float64{1}, 0)
+	out, back := CopyThresholds(x1, x2, []float64{1}, 0)
 	if rate := soloRate(x2, x1, []float64{1}, 0, 1); back != 1 || math.Abs(rate-1.25) > 1e-9 {
 		t.Fatalf("threshold %v, rate %v", back, rate)
 	}
@@ -357,11 +357,11 @@
 
 func TestThresholdsAreInfiniteWhereCopiesOnlyCost(t *testing.T) {
 	x := []float64{1, 1.1, 1.2}
-	if out, back := Thresholds(x, x, []float64{1}, 0.1); !math.IsInf(out, 1) || !math.IsInf(back, 1) {
+	if out, back := CopyThresholds(x, x, []float64{1}, 0.1); !math.IsInf(out, 1) || !math.IsInf(back, 1) {
 		t.Fatalf("thresholds %v, %v", out, back)
 	}
 	// Sizes vary twentyfold, but both copies of a job share theirs.
-	if out, _ := Thresholds(x, x, []float64{0.1, 1, 2}, 0.1); !math.IsInf(out, 1) {
+	if out, _ := CopyThresholds(x, x, []float64{0.1, 1, 2}, 0.1); !math.IsInf(out, 1) {
 		t.Fatalf("threshold %v under common sizes", out)
 	}
 }
@@ -369,10 +369,10 @@
 func TestSettingsAreChecked(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Fleet":       func(s *Settings) { s.Fleet = 0 },
+		"Fleet":       func(s *Settings) { s.FleetSize = 0 },
 		"MaxAttempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"Deadline":    func(s *Settings) { s.Classes[0].Deadline = -1 },
-		"Effect":      func(s *Settings) { s.Classes[0].Effect = 9 },
+		"Effect":      func(s *Settings) { s.Classes[0].Idempotency = 9 },
 		"WarmUp":      func(s *Settings) { s.WarmUp = -1 },
 	} {
 		s := settings()
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -8,7 +8,7 @@
 
 // open tells whether a worker takes ordinary work: one that is not held back.
 func (b *Balancer) open(w *worker) bool {
-	return w.Condition == Serving && (b.now >= w.held || b.doubt)
+	return w.State == Serving && (b.now >= w.held || b.doubt)
 }
 
 // weigh tells whether nearly all workers look bad: the doubt then falls on a common
@@ -19,7 +19,7 @@
 	}
 	bad, all := 0, 0
 	for _, w := range b.workers {
-		if w.Condition == Serving {
+		if w.State == Serving {
 			all++
 			if b.now < w.held {
 				bad++
@@ -32,7 +32,7 @@
 // free tells whether a worker has known room for a job: slots by the books or, where
 // unseen hands hold most of them, fair odds of one.
 func (b *Balancer) free(j *job, w *worker) bool {
-	if b.s.Memory && b.estimate(w)-w.usedMem-w.otherMem < j.Memory {
+	if b.s.TracksMemory && b.estimate(w)-w.usedMem-w.otherMem < j.Memory {
 		return false
 	}
 	if b.largeFleet {
@@ -55,7 +55,7 @@
 	if best != nil && b.odds(best) >= 0.5 && len(b.queue) == 0 {
 		best.sure, best.sureAt, best.sign = 0, b.now, signNone
 		id := best.ID
-		b.host.Tell(to, []byte{slotMessage, byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id), 0})
+		b.host.SendToPeer(to, []byte{slotMessage, byte(id >> 24), byte(id >> 16), byte(id >> 8), byte(id), 0})
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	b.chosen = append(b.chosen[:0], b.ownTurns()...)
 	for _, w := range b.fresh {
-		if w != nil && w.Condition == Serving && !slices.Contains(b.chosen, w) {
+		if w != nil && w.State == Serving && !slices.Contains(b.chosen, w) {
 			b.chosen = append(b.chosen, w)
 		}
 	}
@@ -101,7 +101,7 @@
 			cost *= math.Exp(max(0, b.keyMiss-b.keyHit))
 		}
 		if w.Zone != b.s.Zone && w.Zone >= 0 {
-			cost += 2*b.lagOf(w) + crossing*b.s.CrossPrice*b.sizeOf(j)
+			cost += 2*b.lagOf(w) + crossing*b.s.CrossZonePrice*b.sizeOf(j)
 		}
 		if b.largeFleet {
 			cost += (1 - b.odds(w)) * b.meanRun()
@@ -135,7 +135,7 @@
 		a.sign = w.sign
 	}
 	w.sure, w.sureAt, w.sign = b.odds(w)*(1-1/(1+b.estimate(w))), b.now, signNone
-	if b.s.TellsStart {
+	if b.s.ReportsStart {
 		w.waiting++
 		b.starting = append(b.starting, a)
 	} else {
@@ -157,7 +157,7 @@
 		b.running = append(b.running, j)
 	}
 	if len(j.attempts) == 1 && j.earlier == nil && b.shares != nil {
-		b.shares.Sent()
+		b.shares.CountFirstSend()
 	}
 	b.host.Send(j.ID, w.ID, 0)
 	b.mark(w)
@@ -181,7 +181,7 @@
 func (b *Balancer) probeOne() {
 	var best *worker
 	for _, w := range b.workers {
-		if w.Condition == Serving && !w.probing && (best == nil || w.probed < best.probed) {
+		if w.State == Serving && !w.probing && (best == nil || w.probed < best.probed) {
 			best = w
 		}
 	}
@@ -198,21 +198,21 @@
 		if !j.queued || len(b.queue) > 4 {
 			return
 		}
-		if !b.s.Probes {
-			b.host.Tell((b.s.Position+1+b.rng.IntN(b.s.Fleet-1))%b.s.Fleet, []byte{askMessage})
-			b.host.Tell((b.s.Position+1+b.rng.IntN(b.s.Fleet-1))%b.s.Fleet, []byte{askMessage})
+		if !b.s.AllowProbes {
+			b.host.SendToPeer((b.s.Position+1+b.rng.IntN(b.s.FleetSize-1))%b.s.FleetSize, []byte{askMessage})
+			b.host.SendToPeer((b.s.Position+1+b.rng.IntN(b.s.FleetSize-1))%b.s.FleetSize, []byte{askMessage})
 			continue
 		}
 		w := b.workers[b.rng.IntN(len(b.workers))]
-		if w.Condition == Serving && !w.probing && b.now-w.probed > 10*b.s.Tick && b.now >= w.held {
+		if w.State == Serving && !w.probing && b.now-w.probed > 10*b.s.Tick && b.now >= w.held {
 			w.probing, w.probed = true, b.now
 			b.host.Probe(w.ID)
 		}
 	}
 }
 
-// Probed takes the answer to a probe.
-func (b *Balancer) Probed(now time.Duration, id WorkerID, st Status, _ time.Duration, r Report) {
+// ProbeDone takes the answer to a probe.
+func (b *Balancer) ProbeDone(now time.Duration, id WorkerID, st Status, _ time.Duration, r LoadReport) {
 	b.now = now
 	w := b.byID[id]
 	if w == nil {
--- a/balance/coldstart.go
+++ b/balance/coldstart.go
@@ -9,15 +9,15 @@
 // all dispatchers together must not push the worker over, and none sees what the
 // others send. So by the worker's age some of them take turns, each with its part.
 func (b *Balancer) coldAllows(j *job, w *worker) bool {
-	age := b.now - w.Started
-	if !b.isCold(w) || b.s.FallSpan <= 0 {
+	age := b.now - w.StartedAt
+	if !b.isCold(w) || b.s.OverloadWindow <= 0 {
 		return true
 	}
 	part := b.coldPart(w, max(0, age))
 	if part <= 0 {
 		return false
 	}
-	for len(w.spent) > 0 && w.spent[0].at < b.now-b.s.FallSpan {
+	for len(w.spent) > 0 && w.spent[0].at < b.now-b.s.OverloadWindow {
 		w.spent = w.spent[1:]
 	}
 	sum := b.sizeOf(j) * b.slow(w)
@@ -33,8 +33,8 @@
 // been told of its start send too, and a fall is ours where over two thirds came from the told: we
 // keep to that, less a fifth for estimates that are off.
 func (b *Balancer) coldBears(w *worker, age time.Duration, mean float64) float64 {
-	share := b.s.ColdFrom + (1-b.s.ColdFrom)*float64(max(0, age-b.s.FallSpan))/float64(b.s.WarmUp)
-	n := b.s.FallFactor * share * b.estimate(w) * b.s.FallSpan.Seconds()
+	share := b.s.ColdCapacity + (1-b.s.ColdCapacity)*float64(max(0, age-b.s.OverloadWindow))/float64(b.s.WarmUp)
+	n := b.s.OverloadFactor * share * b.estimate(w) * b.s.OverloadWindow.Seconds()
 	if b.largeFleet {
 		return 0.53 * (n + 2*math.Sqrt(n*mean) + 2*mean)
 	}
@@ -51,7 +51,7 @@
 // so that all dispatchers count alike. All parts but one have an owner, and with each window one
 // owner gives way to the next: a window meets one change at most, and the spare part is for it.
 func (b *Balancer) coldPart(w *worker, age time.Duration) float64 {
-	span, fleet := b.s.FallSpan, uint64(b.s.Fleet)
+	span, fleet := b.s.OverloadWindow, uint64(b.s.FleetSize)
 	if b.now-b.since < span {
 		return 0
 	}
--- a/balance/danger_test.go
+++ b/balance/danger_test.go
@@ -9,12 +9,14 @@
 
 // Each test here shows a failure that was met, or feared, and the answer to it.
 
-func start(b *Balancer, at time.Duration, s sent) { b.Note(at, s.job, s.attempt, NoteStarted, 0) }
+func start(b *Balancer, at time.Duration, s sent) {
+	b.AttemptEvent(at, s.job, s.attempt, EventStarted, 0)
+}
 
 // pass lets time go by in small steps, delivering the latest timer.
 func pass(b *Balancer, r *recorder, from, to time.Duration) {
 	for at := from; at <= to; at += 5 * ms {
-		b.Timer(at, r.token)
+		b.TimerFired(at, r.token)
 	}
 }
 
@@ -82,7 +84,7 @@
 
 func withPeers() Settings {
 	s := settings()
-	s.Peers, s.Fleet = true, 3
+	s.AllowPeerMessages, s.FleetSize = true, 3
 	return s
 }
 
@@ -93,12 +95,12 @@
 // Slots that peers hold are not free, and their waiting jobs are not slots.
 func TestPeersWorkIsSeenAndItsQueueIsNotSlots(t *testing.T) {
 	b, r := fixture(t, withPeers(), 2)
-	b.Peer(time.Second, 1, held(1, 1, 0))
+	b.PeerMessage(time.Second, 1, held(1, 1, 0))
 	request(b, time.Second, 1, safe)
 	if r.last().to != 2 {
 		t.Fatalf("sent to the worker that a peer holds: %v", r.sends)
 	}
-	b.Peer(time.Second, 1, held(2, 0, 5))
+	b.PeerMessage(time.Second, 1, held(2, 0, 5))
 	start(b, 1005*ms, r.last())
 	if got := b.byID[2].slots; got != 1 {
 		t.Fatalf("five jobs waiting at a worker made it %v slots", got)
@@ -107,7 +109,7 @@
 
 func TestSilentPeerHoldsNothing(t *testing.T) {
 	b, r := fixture(t, withPeers(), 1)
-	b.Peer(time.Second, 1, held(1, 1, 0))
+	b.PeerMessage(time.Second, 1, held(1, 1, 0))
 	request(b, time.Second, 1, safe)
 	pass(b, r, time.Second, time.Second+4*heartbeatInterval)
 	request(b, time.Second+4*heartbeatInterval, 2, safe)
@@ -118,8 +120,8 @@
 
 func TestRestartedPeerSaysHello(t *testing.T) {
 	b, _ := fixture(t, withPeers(), 1)
-	b.Peer(time.Second, 1, held(1, 1, 0))
-	b.Peer(time.Second, 1, []byte{helloMessage})
+	b.PeerMessage(time.Second, 1, held(1, 1, 0))
+	b.PeerMessage(time.Second, 1, []byte{helloMessage})
 	if b.byID[1].peerHeld != 0 {
 		t.Fatal("a restarted peer still holds a slot")
 	}
@@ -153,7 +155,7 @@
 // that they have left. Long waits between tries left the fleet idle and refused its work.
 func TestTriesFindRoomThatOthersLeft(t *testing.T) {
 	s := settings()
-	s.Classes[unsafe].Aim = s.Classes[unsafe].Deadline // none is given up here
+	s.Classes[unsafe].Target = s.Classes[unsafe].Deadline // none is given up here
 	b, r := fixture(t, s, 8)
 	for _, w := range b.workers {
 		w.others = b.estimate(w)
@@ -177,10 +179,10 @@
 	s.MaxRetryAfter = 2 * time.Second
 	b, r := fixture(t, s, 0)
 	for i := range 6 {
-		b.Request(time.Second, Job{ID: JobID(i + 1), Class: safe, Patience: 8 * time.Second, Slots: 1,
-			Hint: time.Second})
+		b.SubmitJob(time.Second, Job{ID: JobID(i + 1), Class: safe, ClientTimeout: 8 * time.Second, Slots: 1,
+			ExpectedWork: time.Second})
 	}
-	b.Request(time.Second, Job{ID: 7, Class: unsafe, Patience: 8 * time.Second, Slots: 1, Hint: 500 * ms})
+	b.SubmitJob(time.Second, Job{ID: 7, Class: unsafe, ClientTimeout: 8 * time.Second, Slots: 1, ExpectedWork: 500 * ms})
 	if len(r.answers) == 0 || r.answers[7] != "" {
 		t.Fatalf("answers %v", r.answers)
 	}
@@ -196,8 +198,8 @@
 func TestWhatMayHaveRunIsNotShed(t *testing.T) {
 	b, r := fixture(t, settings(), 0)
 	for i := range 8 {
-		b.Request(time.Second, Job{ID: JobID(i + 1), Class: unsafe, Patience: 8 * time.Second, Slots: 1,
-			Hint: time.Second})
+		b.SubmitJob(time.Second, Job{ID: JobID(i + 1), Class: unsafe, ClientTimeout: 8 * time.Second, Slots: 1,
+			ExpectedWork: time.Second})
 		if j := b.jobs[JobID(i+1)]; j != nil && i == 0 {
 			j.attempts = []*attempt{{j: j, w: &worker{}, done: true, ran: true}}
 		}
@@ -210,7 +212,7 @@
 // Shedding by density alone starves the least dense class, and the goal counts it.
 func TestClassServedWorstWeighsMore(t *testing.T) {
 	s := settings()
-	s.GoalWhole, s.GoalWorstClass = 0.7, 0.2
+	s.TotalWeight, s.WorstClassWeight = 0.7, 0.2
 	b, _ := fixture(t, s, 0)
 	b.classes[0].ended, b.classes[0].inTime = 10, 2
 	b.classes[1].ended, b.classes[1].inTime = 10, 9
@@ -221,7 +223,7 @@
 
 func TestHopelessWorkIsRefusedEarly(t *testing.T) {
 	b, r := fixture(t, settings(), 0)
-	b.Request(time.Second, Job{ID: 1, Class: safe, Patience: 8 * time.Second, Slots: 1, Hint: 100 * ms})
+	b.SubmitJob(time.Second, Job{ID: 1, Class: safe, ClientTimeout: 8 * time.Second, Slots: 1, ExpectedWork: 100 * ms})
 	pass(b, r, time.Second, 3*time.Second)
 	if r.answers[1] != "refused" {
 		t.Fatalf("answer %q", r.answers[1])
@@ -232,8 +234,8 @@
 func TestLogSaysWhyWithoutFlooding(t *testing.T) {
 	b, r := fixture(t, settings(), 1)
 	for i := range 200 {
-		b.Request(time.Second+time.Duration(i)*ms, Job{ID: JobID(i + 1), Class: unsafe, Patience: 8 * time.Second,
-			Slots: 1, Hint: time.Second})
+		b.SubmitJob(time.Second+time.Duration(i)*ms, Job{ID: JobID(i + 1), Class: unsafe, ClientTimeout: 8 * time.Second,
+			Slots: 1, ExpectedWork: time.Second})
 	}
 	pass(b, r, 1200*ms, 4*time.Second)
 	lines := map[string]int{}
@@ -301,7 +303,7 @@
 	b, _ := fixture(t, settings(), 1)
 	w := b.byID[1]
 	w.slots, w.errors, w.strikes, w.held, w.count = 4, 0.9, 3, time.Hour, 5
-	b.Members(2*time.Second, ListChange, []Member{{ID: 1, Started: 2 * time.Second}})
+	b.UpdateMembers(2*time.Second, UpdateDelta, []Member{{ID: 1, StartedAt: 2 * time.Second}})
 	if w.slots != 0 || w.errors != 0 || w.strikes != 0 || w.held != 0 || w.count != 0 {
 		t.Fatalf("kept %+v", w)
 	}
@@ -321,7 +323,7 @@
 		start(b, 1004*ms, s)
 	}
 	b.nextTry = time.Hour
-	b.Request(1010*ms, Job{ID: 9, Class: safe, Patience: 8 * time.Second, Slots: 2})
+	b.SubmitJob(1010*ms, Job{ID: 9, Class: safe, ClientTimeout: 8 * time.Second, Slots: 2})
 	for i := range 4 {
 		request(b, 1020*ms, JobID(i+20), safe)
 	}
@@ -335,12 +337,12 @@
 
 func TestWorkBeyondAQuotaIsWorthLess(t *testing.T) {
 	s := settings()
-	s.Tenants, s.OverShare = []Tenant{{Name: "a", Quota: 1}}, 0.1
-	s.Classes[safe].Aim = time.Hour // or the queue would be too long for some
+	s.Tenants, s.OverQuotaWorth = []Tenant{{Name: "a", Quota: 1}}, 0.1
+	s.Classes[safe].Target = time.Hour // or the queue would be too long for some
 	b, _ := fixture(t, s, 0)
 	var worths []float64
 	for i := range 4 {
-		b.Request(time.Second, Job{ID: JobID(i + 1), Class: safe, Patience: 8 * time.Second, Slots: 1})
+		b.SubmitJob(time.Second, Job{ID: JobID(i + 1), Class: safe, ClientTimeout: 8 * time.Second, Slots: 1})
 		worths = append(worths, b.jobs[JobID(i+1)].worth)
 	}
 	if worths[0] != 1 || worths[3] != 0.1 {
@@ -380,9 +382,9 @@
 // Elapsed time alone takes a big job on a sound worker for a straggler.
 func TestProgressTellsABigJobFromAStraggler(t *testing.T) {
 	s := settings()
-	s.Progress = time.Second
+	s.ProgressInterval = time.Second
 	b, r := overdueFixture(t, s)
-	b.Note(2900*ms, 1, 0, NoteProgress, 0.9)
+	b.AttemptEvent(2900*ms, 1, 0, EventProgress, 0.9)
 	b.now = 3 * time.Second
 	b.schedule()
 	if r.sentTo(1) != 1 {
@@ -393,7 +395,7 @@
 // A worker that stands still tells no progress.
 func TestStalledJobIsCopied(t *testing.T) {
 	s := settings()
-	s.Progress = 100 * ms
+	s.ProgressInterval = 100 * ms
 	b, r := overdueFixture(t, s)
 	b.kinds[0].limit[0] = math.Inf(1)
 	b.now = 2 * time.Second
@@ -422,17 +424,17 @@
 func TestListIsAskedAgainWithGrowingGaps(t *testing.T) {
 	gapsOf := func(fleet int, seed uint64) []time.Duration {
 		s := settings()
-		s.AskList, s.Seed, s.Fleet = true, seed, fleet
+		s.PullMembers, s.Seed, s.FleetSize = true, seed, fleet
 		b, r := fixture(t, s, 1)
 		var gaps []time.Duration
 		at := time.Second
 		for range 6 {
-			b.Members(at, ListFailed, nil)
+			b.UpdateMembers(at, UpdateFailed, nil)
 			before := r.watches
 			from := at
 			for r.watches == before {
 				at += 5 * ms
-				b.Timer(at, r.token)
+				b.TimerFired(at, r.token)
 			}
 			gaps = append(gaps, at-from)
 		}
@@ -443,7 +445,7 @@
 	for fleet, most := range map[int]time.Duration{1: time.Second, 25: time.Second, 50: 2 * time.Second, 300: 4 * time.Second} {
 		gaps := gapsOf(fleet, 1)
 		for i, gap := range gaps { // each is its own share of a doubling gap, up to the most
-			nominal := min(firstRetry<<i, most, settings().AskWithin/2)
+			nominal := min(firstRetry<<i, most, settings().PullInterval/2)
 			if gap < nominal/2 || gap > nominal+5*ms {
 				t.Fatalf("%d dispatchers: gap %d of %v, %v: not from half of %v to all of it", fleet, i, gaps, gap, nominal)
 			}
@@ -467,10 +469,10 @@
 // from worker to worker long after a surge.
 func TestHiddenHoldersAreForgottenOnEvidenceOnly(t *testing.T) {
 	s := settings()
-	s.Probes = true
+	s.AllowProbes = true
 	b, r := fixture(t, s, 1)
 	w := b.byID[1]
-	b.report(w, Report{InFlight: 1, FreeSlots: 3, Queue: -1, Util: -1, ErrorRate: -1, FreeMemory: -1})
+	b.report(w, LoadReport{InFlight: 1, FreeSlots: 3, Queue: -1, Util: -1, ErrorRate: -1, FreeMemory: -1})
 	request(b, time.Second, 1, keyedAll)
 	pass(b, r, time.Second, 1500*ms)
 	full := b.room(w)
@@ -478,7 +480,7 @@
 	if got := b.room(w); full > 0 || got != full {
 		t.Fatalf("room %v after a late start, %v much later", full, got)
 	}
-	b.Probed(b.now, 1, StatusOK, ms, Report{InFlight: 1, FreeSlots: 3, Queue: -1, Util: -1, ErrorRate: -1,
+	b.ProbeDone(b.now, 1, StatusOK, ms, LoadReport{InFlight: 1, FreeSlots: 3, Queue: -1, Util: -1, ErrorRate: -1,
 		FreeMemory: -1})
 	if got := b.room(w); got != 3 {
 		t.Fatalf("room %v after a probe that shows three free", got)
@@ -489,17 +491,17 @@
 // answered all the same: a safe job by a copy, an unsafe one by a failure at the end.
 func TestDrainDuringAHang(t *testing.T) {
 	s := settings()
-	s.Progress = time.Second
+	s.ProgressInterval = time.Second
 	b, r := fixture(t, s, 2)
 	request(b, time.Second, 1, safe)
 	hung := r.last()
 	start(b, 1004*ms, hung)
 	b.byID[hung.to].slots = 2 // its second slot takes the unsafe job
-	b.byID[3-hung.to].Condition = Gone
+	b.byID[3-hung.to].State = Gone
 	request(b, 1010*ms, 2, unsafe)
 	start(b, 1014*ms, r.last())
-	b.Members(1100*ms, ListChange, []Member{{ID: hung.to, Weight: 1, Condition: Draining},
-		{ID: 3 - hung.to, Weight: 1, Condition: Serving}})
+	b.UpdateMembers(1100*ms, UpdateDelta, []Member{{ID: hung.to, Weight: 1, State: Draining},
+		{ID: 3 - hung.to, Weight: 1, State: Serving}})
 	request(b, 1200*ms, 3, keyedAll)
 	if r.last().to == hung.to || r.sentTo(3) != 1 {
 		t.Fatalf("sends %v after the drain of %d", r.sends, hung.to)
@@ -523,13 +525,13 @@
 // local workers were free and the answer was in time anyway.
 func TestZonesAreNotCrossedForAFewPercent(t *testing.T) {
 	s := settings()
-	s.CrossPrice = 0.02
+	s.CrossZonePrice = 0.02
 	for _, c := range []struct {
 		slow float64 // how much slower the local worker is, as a logarithm
 		to   WorkerID
 	}{{0.05, 1}, {0.7, 2}} {
 		b, r := fixture(t, s, 0)
-		b.Members(time.Second, ListFull, []Member{{ID: 1, Zone: 0}, {ID: 2, Zone: 1}})
+		b.UpdateMembers(time.Second, UpdateFull, []Member{{ID: 1, Zone: 0}, {ID: 2, Zone: 1}})
 		for _, w := range b.workers {
 			w.lag, w.count, w.sized = 0.001, 1000, b.now
 		}
@@ -565,21 +567,21 @@
 // Noisy counts of held jobs made slots that no worker had: dispatchers of a full fleet
 // sent work after work there, and each waited in the worker's queue.
 func TestNoisyReportsMakeNoSlots(t *testing.T) {
-	report := func(free, held float64) Report {
-		return Report{InFlight: held, FreeSlots: free, Queue: -1, Util: -1, ErrorRate: -1, FreeMemory: -1}
+	report := func(free, held float64) LoadReport {
+		return LoadReport{InFlight: held, FreeSlots: free, Queue: -1, Util: -1, ErrorRate: -1, FreeMemory: -1}
 	}
 	for _, c := range []struct {
 		name    string
-		reports []Report
+		reports []LoadReport
 		size    float64
 		room    float64
 	}{
-		{"full by its own word", []Report{report(5, 0), report(0, 3.8)}, 5, 0},
-		{"one count too high", []Report{report(5, 0), report(4.9, 0), report(6.2, 0), report(4.7, 0)}, 5, 5},
-		{"half full", []Report{report(5, 0), report(3.1, 2.2)}, 5, 3},
+		{"full by its own word", []LoadReport{report(5, 0), report(0, 3.8)}, 5, 0},
+		{"one count too high", []LoadReport{report(5, 0), report(4.9, 0), report(6.2, 0), report(4.7, 0)}, 5, 5},
+		{"half full", []LoadReport{report(5, 0), report(3.1, 2.2)}, 5, 3},
 	} {
 		s := settings()
-		s.Probes = true
+		s.AllowProbes = true
 		b, _ := fixture(t, s, 1)
 		w := b.byID[1]
 		for _, r := range c.reports {
@@ -598,10 +600,10 @@
 	homes := map[WorkerID]bool{}
 	at := time.Second
 	for i := range 6 {
-		b.Request(at, Job{ID: JobID(i + 1), Class: unsafe, Patience: 8 * time.Second, Slots: 1, Key: "k"})
+		b.SubmitJob(at, Job{ID: JobID(i + 1), Class: unsafe, ClientTimeout: 8 * time.Second, Slots: 1, Key: "k"})
 		homes[r.last().to] = true
 		start(b, at+4*ms, r.last())
-		b.Gone(at+10*ms, JobID(i+1)) // an end that teaches nothing of speed
+		b.ClientGone(at+10*ms, JobID(i+1)) // an end that teaches nothing of speed
 		end(b, at+10*ms, r.last(), StatusTimeout)
 		at += time.Second
 	}
@@ -636,16 +638,16 @@
 	b, r := fixture(t, settings(), 2)
 	request(b, time.Second, 1, safe)
 	busy := r.last()
-	b.Members(time.Second, ListFull, []Member{{ID: 9}})
+	b.UpdateMembers(time.Second, UpdateFull, []Member{{ID: 9}})
 	if len(b.workers) != 3 {
 		t.Fatalf("%d workers kept at once: one may come back", len(b.workers))
 	}
-	b.Members(2*time.Minute, ListFull, []Member{{ID: 9}})
+	b.UpdateMembers(2*time.Minute, UpdateFull, []Member{{ID: 9}})
 	if len(b.workers) != 2 {
 		t.Fatalf("%d workers kept, the new and the busy one wanted", len(b.workers))
 	}
 	end(b, 3*time.Minute, busy, StatusOK)
-	b.Members(3*time.Minute, ListFull, []Member{{ID: 9}})
+	b.UpdateMembers(3*time.Minute, UpdateFull, []Member{{ID: 9}})
 	if len(b.workers) != 1 || len(b.byID) != 1 {
 		t.Fatalf("%d workers kept", len(b.workers))
 	}
@@ -654,7 +656,7 @@
 // Where second copies are not allowed a safe job is withdrawn like a keyed one.
 func TestLateStartWithoutSecondCopies(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
+	s.AllowCopies = false
 	b, r := fixture(t, s, 2)
 	request(b, time.Second, 1, safe)
 	first := r.last()
@@ -676,7 +678,7 @@
 	before, at := len(r.told), 1004*ms
 	for at < 6*time.Second {
 		at += max(r.wake, ms)
-		b.Timer(at, r.token)
+		b.TimerFired(at, r.token)
 	}
 	if len(r.told) < before+2 {
 		t.Fatalf("%d messages in five seconds", len(r.told)-before)
@@ -691,7 +693,7 @@
 	if r.sentTo(1) != 2 {
 		t.Fatal("no copy was made: the test shows nothing")
 	}
-	b.First(1600*ms, 1, 0)
+	b.StreamStarted(1600*ms, 1, 0)
 	if len(r.cancels) != 1 || r.cancels[0].attempt != 1 {
 		t.Fatalf("cancels %v", r.cancels)
 	}
@@ -703,13 +705,13 @@
 
 func TestJobsGoOnlyWhereTheyFit(t *testing.T) {
 	s := settings()
-	s.Memory = true
-	s.Classes[safe].Kind = 1
+	s.TracksMemory = true
+	s.Classes[safe].WorkerKind = 1
 	b, r := fixture(t, s, 2)
 	b.workers[1].Kind = 1
 	b.workers[1].slots = 2
 	for i := range 2 {
-		b.Request(time.Second, Job{ID: JobID(i + 1), Class: safe, Patience: 8 * time.Second, Slots: 1, Memory: 1.5})
+		b.SubmitJob(time.Second, Job{ID: JobID(i + 1), Class: safe, ClientTimeout: 8 * time.Second, Slots: 1, Memory: 1.5})
 	}
 	if len(r.sends) != 1 || r.last().to != 2 {
 		t.Fatalf("sends %v, want one to the worker of kind 1, whose memory holds one job", r.sends)
@@ -740,7 +742,7 @@
 func largeFleetFixture(t *testing.T, workers int) (*Balancer, *recorder) {
 	t.Helper()
 	s := withPeers()
-	s.Fleet = 200
+	s.FleetSize = 200
 	return fixture(t, s, workers)
 }
 
@@ -759,7 +761,7 @@
 	got := map[WorkerID]int{}
 	for seed := range 40 {
 		s := withPeers()
-		s.Fleet, s.Seed = 200, uint64(seed)
+		s.FleetSize, s.Seed = 200, uint64(seed)
 		b, r := fixture(t, s, 100)
 		b.byID[7].size, b.byID[7].count = -5, 10 // all know one fast worker
 		request(b, 20*time.Second, 1, safe)
@@ -824,16 +826,16 @@
 // Where workers tell of their room when asked, a large fleet's job is sent on a worker's word.
 func TestALargeFleetAsksBeforeItSends(t *testing.T) {
 	s := settings()
-	s.Fleet, s.Probes = 200, true
+	s.FleetSize, s.AllowProbes = 200, true
 	b, r := fixture(t, s, 40)
 	b.window = 0
 	request(b, time.Second, 1, safe)
 	if len(r.probes) == 0 || len(r.sends) > 0 {
 		t.Fatalf("probes %v, sends %v", r.probes, r.sends)
 	}
-	free := NoReport()
+	free := NoLoadReport()
 	free.InFlight, free.FreeSlots = 0, 4
-	b.Probed(1004*ms, r.probes[0], StatusOK, 4*ms, free)
+	b.ProbeDone(1004*ms, r.probes[0], StatusOK, 4*ms, free)
 	if len(r.sends) != 1 || r.last().to != r.probes[0] {
 		t.Fatalf("worker %d has room, sends %v", r.probes[0], r.sends)
 	}
@@ -889,7 +891,7 @@
 	if len(r.sends) > 0 || len(r.told) == 0 || r.told[0][0] != askMessage {
 		t.Fatalf("sends %v, told %v", r.sends, r.told)
 	}
-	b.Peer(1010*ms, 7, []byte{slotMessage, 0, 0, 0, 9, 0})
+	b.PeerMessage(1010*ms, 7, []byte{slotMessage, 0, 0, 0, 9, 0})
 	if len(r.sends) != 1 || r.last().to != 9 {
 		t.Fatalf("a sign of room at worker 9, sends %v", r.sends)
 	}
@@ -905,8 +907,8 @@
 	request(b, time.Second, 1, safe)
 	start(b, 1004*ms, r.last())
 	end(b, 1500*ms, r.last(), StatusOK)
-	b.Peer(1510*ms, 3, []byte{askMessage})
-	b.Peer(1511*ms, 4, []byte{askMessage})
+	b.PeerMessage(1510*ms, 3, []byte{askMessage})
+	b.PeerMessage(1511*ms, 4, []byte{askMessage})
 	if len(r.told) != 1 || r.told[0][0] != slotMessage || WorkerID(r.told[0][4]) != r.last().to {
 		t.Fatalf("one slot came free, told %v", r.told)
 	}
@@ -917,9 +919,9 @@
 	b, r := largeFleetFixture(t, 40)
 	request(b, time.Second, 1, safe)
 	start(b, 1004*ms, r.last())
-	full := NoReport()
+	full := NoLoadReport()
 	full.FreeSlots = 0
-	b.Outcome(1500*ms, Result{Job: 1, Worker: r.last().to, Status: StatusOK, Closed: true, Report: full})
+	b.AttemptDone(1500*ms, AttemptResult{Job: 1, Worker: r.last().to, Status: StatusOK, JobDone: true, Report: full})
 	if w := b.byID[r.last().to]; w.sign != signEnd {
 		t.Fatalf("sign %d, odds %v", w.sign, b.odds(w))
 	}
@@ -946,9 +948,9 @@
 	b, _ := largeFleetFixture(t, 1)
 	var list []Member
 	for i := range 1000 {
-		list = append(list, Member{ID: WorkerID(i + 1), Weight: 1, Started: 100 * time.Second})
+		list = append(list, Member{ID: WorkerID(i + 1), Weight: 1, StartedAt: 100 * time.Second})
 	}
-	b.Members(101*time.Second, ListFull, list)
+	b.UpdateMembers(101*time.Second, UpdateFull, list)
 	if n := len(b.candidates()); n > 3*looked {
 		t.Fatalf("%d of 1000 workers looked at for a choice", n)
 	}
--- a/balance/earlier_test.go
+++ b/balance/earlier_test.go
@@ -10,8 +10,8 @@
 func TestEarlierAttemptBinds(t *testing.T) {
 	s := settings()
 	s.Classes = []Class{
-		{Name: "cell", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: Keyed, Group: GroupCell, Span: 5 * time.Second, Kind: -1},
-		{Name: "unsafe", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: Unsafe, Kind: -1}}
+		{Name: "cell", Target: time.Second, Deadline: 20 * time.Second, Worth: 1, Idempotency: Deduplicated, DedupScope: ScopeCell, DedupWindow: 5 * time.Second, WorkerKind: -1},
+		{Name: "unsafe", Target: time.Second, Deadline: 20 * time.Second, Worth: 1, Idempotency: NonIdempotent, WorkerKind: -1}}
 	r := newRecorder()
 	b, err := New(s, r)
 	if err != nil {
@@ -21,10 +21,10 @@
 	for i := range 6 {
 		members = append(members, Member{ID: WorkerID(i + 1), Weight: 1, Cell: i % 3})
 	}
-	b.Members(0, ListFull, members)
+	b.UpdateMembers(0, UpdateFull, members)
 	at := time.Minute // past what a dispatcher may have forgotten of cold workers
 	for i := range JobID(8) {
-		b.Request(at, Job{ID: i + 1, Class: 0, Tenant: -1, Patience: 20 * time.Second, Slots: 1, Earlier: &Earlier{Cell: 2, Ago: time.Second}})
+		b.SubmitJob(at, Job{ID: i + 1, Class: 0, Tenant: -1, ClientTimeout: 20 * time.Second, Slots: 1, PriorAttempt: &PriorAttempt{Cell: 2, Age: time.Second}})
 	}
 	if len(r.sends) == 0 {
 		t.Fatal("nothing was sent")
@@ -35,10 +35,10 @@
 		}
 	}
 	sends := len(r.sends)
-	b.Request(at, Job{ID: 20, Class: 0, Tenant: -1, Patience: 20 * time.Second, Slots: 1, Earlier: &Earlier{Cell: 1, Ago: 6 * time.Second}})
-	b.Request(at, Job{ID: 21, Class: 1, Tenant: -1, Patience: 20 * time.Second, Slots: 1, Earlier: &Earlier{Ago: time.Millisecond}})
+	b.SubmitJob(at, Job{ID: 20, Class: 0, Tenant: -1, ClientTimeout: 20 * time.Second, Slots: 1, PriorAttempt: &PriorAttempt{Cell: 1, Age: 6 * time.Second}})
+	b.SubmitJob(at, Job{ID: 21, Class: 1, Tenant: -1, ClientTimeout: 20 * time.Second, Slots: 1, PriorAttempt: &PriorAttempt{Age: time.Millisecond}})
 	for next := at; next < at+30*time.Second; next += 100 * time.Millisecond {
-		b.Timer(next, r.token)
+		b.TimerFired(next, r.token)
 	}
 	if len(r.sends) < sends {
 		t.Fatal("sends were lost")
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -18,30 +18,30 @@
 }
 func (printer) Refuse(j balance.JobID, _ time.Duration) { fmt.Printf("refuse job %d\n", j) }
 func (printer) Fail(j balance.JobID)                    { fmt.Printf("fail job %d\n", j) }
-func (printer) Wake(time.Duration, uint64)              {} // a real host calls Timer with the token
+func (printer) SetTimer(time.Duration, uint64)          {} // a real host calls Timer with the token
 func (printer) Watch()                                  {}
 func (printer) Fetch()                                  {}
-func (printer) Tell(int, []byte)                        {}
+func (printer) SendToPeer(int, []byte)                  {}
 func (printer) Probe(balance.WorkerID)                  {}
 func (printer) Log(text string)                         { fmt.Println(text) }
 
 // One worker with one slot takes the first job; the second waits for its end.
 func ExampleBalancer() {
 	b, err := balance.New(balance.Settings{
-		Fleet: 1, Kinds: 1, MaxAttempts: 3, Cancel: true, ConnectTimeout: 200 * time.Millisecond,
-		Classes: []balance.Class{{Name: "resize", Aim: time.Second, Stretch: 2, Deadline: 10 * time.Second,
-			Worth: 1, Effect: balance.Safe, Kind: -1}},
+		FleetSize: 1, WorkerKinds: 1, MaxAttempts: 3, AllowCancel: true, ConnectTimeout: 200 * time.Millisecond,
+		Classes: []balance.Class{{Name: "resize", Target: time.Second, Stretch: 2, Deadline: 10 * time.Second,
+			Worth: 1, Idempotency: balance.Idempotent, WorkerKind: -1}},
 	}, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	b.Members(0, balance.ListFull, []balance.Member{{ID: 7, Weight: 1}})
+	b.UpdateMembers(0, balance.UpdateFull, []balance.Member{{ID: 7, Weight: 1}})
 	for id := balance.JobID(1); id <= 2; id++ {
-		b.Request(0, balance.Job{ID: id, Tenant: -1, Patience: 10 * time.Second, Slots: 1})
+		b.SubmitJob(0, balance.Job{ID: id, Tenant: -1, ClientTimeout: 10 * time.Second, Slots: 1})
 	}
-	b.Outcome(300*time.Millisecond, balance.Result{Job: 1, Worker: 7, Status: balance.StatusOK,
-		Elapsed: 300 * time.Millisecond, Closed: true, Report: balance.NoReport()})
+	b.AttemptDone(300*time.Millisecond, balance.AttemptResult{Job: 1, Worker: 7, Status: balance.StatusOK,
+		Elapsed: 300 * time.Millisecond, JobDone: true, Report: balance.NoLoadReport()})
 	// Output:
 	// job 1 to worker 7
 	// job 2 to worker 7
--- a/balance/large_fleet_test.go
+++ b/balance/large_fleet_test.go
@@ -16,7 +16,7 @@
 func newLargeFleet(t *testing.T, n int) ([]*Balancer, []*recorder) {
 	t.Helper()
 	s := settings()
-	s.Fleet = n
+	s.FleetSize = n
 	var bs []*Balancer
 	var rs []*recorder
 	for i := range n {
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Members(90*time.Second, ListFull, []Member{{ID: 1, Weight: 3, Started: 99 * time.Second},
+		b.UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: 1, Weight: 3, StartedAt: 99 * time.Second},
 			{ID: 2, Weight: 3}})
 		bs, rs = append(bs, b), append(rs, r)
 	}
@@ -98,21 +98,21 @@
 func TestLargeFleetKeepsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := settings()
-		s.Fleet = rapid.SampledFrom([]int{20, 24, 25, 30, 80, 300, 324}).Draw(t, "fleet")
-		s.FallSpan = rapid.SampledFrom([]time.Duration{500 * ms, time.Second, 2 * time.Second}).Draw(t, "span")
-		s.ColdFrom = rapid.Float64Range(0.1, 0.9).Draw(t, "cold from")
+		s.FleetSize = rapid.SampledFrom([]int{20, 24, 25, 30, 80, 300, 324}).Draw(t, "fleet")
+		s.OverloadWindow = rapid.SampledFrom([]time.Duration{500 * ms, time.Second, 2 * time.Second}).Draw(t, "span")
+		s.ColdCapacity = rapid.Float64Range(0.1, 0.9).Draw(t, "cold from")
 		weight := float64(rapid.IntRange(1, 8).Draw(t, "weight"))
 		spread := rapid.Float64Range(0, 0.25).Draw(t, "spread")
 		largest := rapid.Float64Range(0.2, 4).Draw(t, "largest") // in means
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		start := 100 * time.Second
 		id := WorkerID(rng.Uint32())
-		bs := make([]*Balancer, s.Fleet)
+		bs := make([]*Balancer, s.FleetSize)
 		var mean float64
 		for i := range bs {
 			s.Position = i
 			bs[i], _ = New(s, newRecorder())
-			bs[i].Members(90*time.Second, ListFull, []Member{{ID: id, Weight: weight, Started: start}})
+			bs[i].UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: id, Weight: weight, StartedAt: start}})
 			mean = bs[i].meanRun()
 			for c := range bs[i].classes {
 				bs[i].classes[c].mean *= 1 + spread*(2*rng.Float64()-1)
@@ -120,13 +120,13 @@
 		}
 		type spent struct{ at, cost float64 }
 		var all []spent
-		for now := start; now < start+s.WarmUp; now += s.FallSpan / 10 {
+		for now := start; now < start+s.WarmUp; now += s.OverloadWindow / 10 {
 			for _, i := range rng.Perm(len(bs)) {
 				b := bs[i]
 				b.now = now
 				w := b.byID[id]
 				for range 20 { // greedy, but not for ever
-					j := &job{Job: Job{Hint: seconds(mean * largest * rng.Float64())}, c: &b.classes[0]}
+					j := &job{Job: Job{ExpectedWork: seconds(mean * largest * rng.Float64())}, c: &b.classes[0]}
 					if !b.coldAllows(j, w) {
 						break
 					}
@@ -135,7 +135,7 @@
 				}
 			}
 		}
-		span, most := s.FallSpan.Seconds(), 0.0
+		span, most := s.OverloadWindow.Seconds(), 0.0
 		for i, a := range all {
 			sum := 0.0
 			for _, o := range all[i:] {
@@ -144,13 +144,13 @@
 				}
 			}
 			age := a.at - start.Seconds()
-			over := pushesOver(s.FallFactor*weight*span*(s.ColdFrom+(1-s.ColdFrom)*age/s.WarmUp.Seconds()), mean)
+			over := pushesOver(s.OverloadFactor*weight*span*(s.ColdCapacity+(1-s.ColdCapacity)*age/s.WarmUp.Seconds()), mean)
 			if sum > 2.0/3*over {
 				t.Fatalf("window from %.2f s: %.2f of work, %.2f pushes it over", age, sum, over)
 			}
 			most = max(most, sum/over)
 		}
-		if s.Fleet > largeFleetAbove && largest < 0.8 && most < 0.3 {
+		if s.FleetSize > largeFleetAbove && largest < 0.8 && most < 0.3 {
 			t.Fatalf("all greedy, and at most %.2f of what pushes it over", most)
 		}
 	})
@@ -161,14 +161,14 @@
 func TestLargeFleetOwnsAllPartsButOne(t *testing.T) {
 	for _, fleet := range []int{25, 80, 324} {
 		s := settings()
-		s.Fleet, s.ColdFrom = fleet, 0.9
+		s.FleetSize, s.ColdCapacity = fleet, 0.9
 		all, bears := 0.0, 0.0
 		for s.Position = range fleet {
 			b, err := New(s, newRecorder())
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Members(90*time.Second, ListFull, []Member{{ID: 7, Weight: 8, Started: 100 * time.Second}})
+			b.UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: 7, Weight: 8, StartedAt: 100 * time.Second}})
 			b.now = 106 * time.Second
 			w := b.byID[7]
 			all, bears = all+b.coldPart(w, 6*time.Second), b.coldBears(w, 6*time.Second, b.meanRun())
@@ -189,7 +189,7 @@
 	if len(r.sends) == 0 {
 		t.Fatal("nothing sent")
 	}
-	b.Note(100*time.Second+10*ms, r.last().job, r.last().attempt, NoteStarted, 0)
+	b.AttemptEvent(100*time.Second+10*ms, r.last().job, r.last().attempt, EventStarted, 0)
 	if got := b.estimate(w); got != 3 {
 		t.Fatalf("a worker of weight 3 with one job of ours started is taken for %v slots", got)
 	}
@@ -208,7 +208,7 @@
 func TestALargeFleetDoesNotCopyAJobThatMerelyQueues(t *testing.T) {
 	for _, wait := range []time.Duration{40 * ms, 100 * ms, 200 * ms} {
 		s := settings()
-		s.Fleet = 80
+		s.FleetSize = 80
 		b, r := fixture(t, s, 4)
 		at := 10 * time.Second
 		for i := range 20 { // starts after 4 ms teach the least lag
@@ -247,16 +247,16 @@
 // worker taken back returns cold, lost by them.
 func TestAFewKeepAColdBudgetWhole(t *testing.T) {
 	s := settings()
-	s.Fleet = 2
+	s.FleetSize = 2
 	sent := 0
 	for pos := range 2 {
 		s.Position = pos
 		b, r := fixture(t, s, 1)
 		w := b.byID[1]
-		w.Started, w.slots = 99*time.Second, 4
+		w.StartedAt, w.slots = 99*time.Second, 4
 		// Age 1 s: the budget is 0.7 x 3 x 0.3 x 4 x 2 s, about 5 s of work; this job is 3.5.
-		b.Request(100*time.Second, Job{ID: 1, Class: unsafe, Tenant: -1, Patience: 8 * time.Second, Slots: 1,
-			Hint: 3500 * ms})
+		b.SubmitJob(100*time.Second, Job{ID: 1, Class: unsafe, Tenant: -1, ClientTimeout: 8 * time.Second, Slots: 1,
+			ExpectedWork: 3500 * ms})
 		sent += len(r.sends)
 	}
 	if sent != 1 {
--- a/balance/measure.go
+++ b/balance/measure.go
@@ -28,8 +28,8 @@
 	}
 	weight := 0.3
 	x := math.Log(run) - j.c.logMean
-	if j.Hint > 0 {
-		weight, x = 1, math.Log(run/j.Hint.Seconds())
+	if j.ExpectedWork > 0 {
+		weight, x = 1, math.Log(run/j.ExpectedWork.Seconds())
 	}
 	fade := math.Exp2(-float64(b.now-w.sized) / float64(memory))
 	w.size, w.count, w.sized = w.size*fade+x*weight, w.count*fade+weight, b.now
@@ -44,7 +44,7 @@
 	c.logVar += gain * (d*d - c.logVar)
 	c.mean += gain * (run/slow - c.mean)
 	s := run / b.sizeOf(j)
-	if j.Hint <= 0 {
+	if j.ExpectedWork <= 0 {
 		s = slow
 	}
 	if len(k.window) < windowLen {
@@ -54,7 +54,7 @@
 	}
 	k.next++
 	if b.learned++; b.learned%64 == 0 {
-		b.setLimits(j.Hint > 0)
+		b.setLimits(j.ExpectedWork > 0)
 	}
 }
 
@@ -73,13 +73,13 @@
 // of a kind not met yet, the others' mean by the stated weight.
 func (b *Balancer) estimate(w *worker) float64 {
 	switch k := b.kinds[w.Kind].slots; {
-	case b.largeFleet && !b.s.NoWeights && w.Weight >= 1:
+	case b.largeFleet && !b.s.IgnoreWeights && w.Weight >= 1:
 		// One of many holds too few jobs at any worker to see its size: its own there are a
 		// floor, and took every worker for one slot. The list's weight tells the size.
 		return max(w.slots, math.Round(w.Weight))
 	case w.slots > 0:
 		return w.slots
-	case k > 0 || b.s.NoWeights:
+	case k > 0 || b.s.IgnoreWeights:
 		return max(1, k)
 	}
 	return max(1, math.Floor(b.slotsByWeight*w.Weight))
@@ -115,7 +115,7 @@
 // their mean counts; and a worker that tells of no free slot has none, whatever its
 // count of held jobs says: a full fleet's noise would draw every dispatcher to a slot
 // that does not exist.
-func (b *Balancer) report(w *worker, r Report) {
+func (b *Balancer) report(w *worker, r LoadReport) {
 	if r.FreeSlots < 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (b *Balancer) isCold(w *worker) bool { return w.Started > 0 && b.now-w.Started < b.s.WarmUp }
+func (b *Balancer) isCold(w *worker) bool { return w.StartedAt > 0 && b.now-w.StartedAt < b.s.WarmUp }
 
 // odds is how likely a job sent to a worker now starts at once, where most slots are in
 // unseen hands: the last evidence, which fades to what is usual for its kind.
@@ -184,12 +184,12 @@
 
 // chance is the likelihood that a job sent after a further wait is answered in time.
 func (b *Balancer) chance(j *job, wait float64) float64 {
-	late := (b.now - j.born).Seconds() + wait - j.c.Aim.Seconds()
+	late := (b.now - j.born).Seconds() + wait - j.c.Target.Seconds()
 	gain := j.c.Stretch - b.pace
 	switch {
-	case j.Hint > 0 && late > gain*j.Hint.Seconds():
+	case j.ExpectedWork > 0 && late > gain*j.ExpectedWork.Seconds():
 		return 0
-	case j.Hint > 0 || late <= 0 && gain >= 0:
+	case j.ExpectedWork > 0 || late <= 0 && gain >= 0:
 		return 1
 	case late > 0 && gain <= 0:
 		return 0
@@ -205,7 +205,7 @@
 // late answer's worth is left out, as it does not fall with time.
 func (b *Balancer) density(j *job, wait float64) float64 {
 	v := (j.worth*(1-j.c.LateWorth) + b.boost(j.c)) * b.chance(j, wait)
-	if b.s.WorkWorth {
+	if b.s.WorthByWork {
 		return v
 	}
 	return v / b.sizeOf(j)
@@ -214,7 +214,7 @@
 // boost is the further worth of a job of the class served worst so far, where the
 // goal counts that class: shedding by density alone would starve one class.
 func (b *Balancer) boost(c *class) float64 {
-	if b.s.GoalWhole <= 0 || c.ended <= 0 {
+	if b.s.TotalWeight <= 0 || c.ended <= 0 {
 		return 0
 	}
 	total := 0.0
@@ -225,7 +225,7 @@
 		}
 		total += o.ended * o.Worth
 	}
-	return b.s.GoalWorstClass / b.s.GoalWhole * total / c.ended
+	return b.s.WorstClassWeight / b.s.TotalWeight * total / c.ended
 }
 
 // startBound is how long the word of a start may take at a worker with room. It
@@ -236,7 +236,7 @@
 func (b *Balancer) startBound(a *attempt) time.Duration {
 	least := seconds(3*b.lagOf(a.w)) + 3*b.s.Tick
 	if b.largeFleet {
-		return max(least, time.Duration(float64(a.j.c.Aim)*0.5))
+		return max(least, time.Duration(float64(a.j.c.Target)*0.5))
 	}
 	return least
 }
@@ -267,15 +267,15 @@
 
 // sizeOf is the work of a job in seconds at slowness 1.
 func (b *Balancer) sizeOf(j *job) float64 {
-	if j.Hint > 0 {
-		return j.Hint.Seconds()
+	if j.ExpectedWork > 0 {
+		return j.ExpectedWork.Seconds()
 	}
 	return j.c.mean
 }
 
 // weight is what a job counts for in its class's share.
 func (b *Balancer) weight(j *job) float64 {
-	if b.s.WorkWorth {
+	if b.s.WorthByWork {
 		return b.sizeOf(j)
 	}
 	return 1
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -14,7 +14,7 @@
 )
 
 func (b *Balancer) mark(w *worker) {
-	if b.s.Peers && !w.dirty {
+	if b.s.AllowPeerMessages && !w.dirty {
 		w.dirty = true
 		b.dirty = append(b.dirty, w)
 	}
@@ -37,11 +37,11 @@
 // tellPeers sends what changed in the slots held here, so that dispatchers do not
 // all take the same worker for idle. A message is five bytes a worker.
 func (b *Balancer) tellPeers() {
-	if !b.s.Peers || b.largeFleet || (len(b.dirty) == 0 || b.now < b.tellAt) && b.now < b.heartbeatAt {
+	if !b.s.AllowPeerMessages || b.largeFleet || (len(b.dirty) == 0 || b.now < b.tellAt) && b.now < b.heartbeatAt {
 		return
 	}
 	// A message is paid for at each peer: with many of them changes gather.
-	b.tellAt = b.now + time.Duration(max(0, b.s.Fleet-4))*b.s.Tick
+	b.tellAt = b.now + time.Duration(max(0, b.s.FleetSize-4))*b.s.Tick
 	kind := byte(changeMessage)
 	if b.now >= b.heartbeatAt {
 		b.heartbeatAt = b.now + heartbeatInterval
@@ -58,14 +58,14 @@
 		}
 		w.told = held
 		if len(data)+entryLen > 256 {
-			b.host.Tell(Everyone, data)
+			b.host.SendToPeer(AllPeers, data)
 			data = append(data[:0], changeMessage)
 		}
 		data = append(data, byte(w.ID>>24), byte(w.ID>>16), byte(w.ID>>8), byte(w.ID), held)
 	}
 	b.dirty, b.message = b.dirty[:0], data
 	if len(data) > 1 || kind == fullMessage && b.telling {
-		b.host.Tell(Everyone, data)
+		b.host.SendToPeer(AllPeers, data)
 	}
 	b.telling = len(data) > 1
 }
@@ -83,10 +83,10 @@
 	}
 }
 
-// Peer takes a message from another dispatcher. A malformed one is dropped.
-func (b *Balancer) Peer(now time.Duration, from int, data []byte) {
+// PeerMessage takes a message from another dispatcher. A malformed one is dropped.
+func (b *Balancer) PeerMessage(now time.Duration, from int, data []byte) {
 	b.now = now
-	if from < 0 || from >= b.s.Fleet || len(data) == 0 || len(data)%entryLen != 1 || data[0] == slotMessage && len(data) < entryLen {
+	if from < 0 || from >= b.s.FleetSize || len(data) == 0 || len(data)%entryLen != 1 || data[0] == slotMessage && len(data) < entryLen {
 		return
 	}
 	b.peerSeen[from] = now
--- a/balance/records.go
+++ b/balance/records.go
@@ -187,10 +187,10 @@
 
 // movable tells whether a job that waits at one worker may wait at any other too.
 func (j *job) movable() bool {
-	return j.c.Effect == Safe || j.c.Effect == Keyed && j.c.Group == GroupAll
+	return j.c.Idempotency == Idempotent || j.c.Idempotency == Deduplicated && j.c.DedupScope == ScopeFleet
 }
 
 // bound tells whether a job may go to part of the fleet only.
 func (j *job) bound() bool {
-	return j.c.Kind >= 0 || j.c.Effect == Keyed && j.c.Group != GroupAll && j.firstRan() != nil
+	return j.c.WorkerKind >= 0 || j.c.Idempotency == Deduplicated && j.c.DedupScope != ScopeFleet && j.firstRan() != nil
 }
--- a/balance/repeats.go
+++ b/balance/repeats.go
@@ -7,7 +7,7 @@
 // again decides what follows a failed attempt when no other is out.
 func (b *Balancer) again(j *job) {
 	ran := j.firstRan() != nil // what surely never ran does no work twice
-	if j.stream || !b.maySend(j) || ran && !j.paid && b.shares != nil && !b.shares.Again() {
+	if j.stream || !b.maySend(j) || ran && !j.paid && b.shares != nil && !b.shares.AllowRepeat() {
 		b.answer(j)
 		return
 	}
@@ -24,11 +24,11 @@
 	if first == nil {
 		return true
 	}
-	switch j.c.Effect {
-	case Unsafe: // the attempt may have had its effect: a repeat could double it
+	switch j.c.Idempotency {
+	case NonIdempotent: // the attempt may have had its effect: a repeat could double it
 		return false
-	case Keyed: // past the span the group has forgotten the first effect, also if the connection is late
-		return b.now < first.sent+j.c.Span-margin-b.s.ConnectTimeout
+	case Deduplicated: // past the span the group has forgotten the first effect, also if the connection is late
+		return b.now < first.sent+j.c.DedupWindow-margin-b.s.ConnectTimeout
 	}
 	return true
 }
@@ -40,7 +40,7 @@
 		return
 	}
 	unseen := j.out == 0 && j.firstRan() == nil // no effect so far, and none to come
-	if unseen || j.c.Effect == Safe || j.c.Effect == Keyed && j.c.Group == GroupAll {
+	if unseen || j.c.Idempotency == Idempotent || j.c.Idempotency == Deduplicated && j.c.DedupScope == ScopeFleet {
 		b.host.Refuse(j.ID, min(max(b.comeBack, leastBack), b.s.MaxRetryAfter))
 	} else {
 		b.host.Fail(j.ID)
@@ -51,24 +51,24 @@
 // fits tells whether the rules and the job's needs allow the worker at all. It is
 // also the guard at the only place where sends leave, so that nothing bypasses it.
 func (b *Balancer) fits(j *job, w *worker) bool {
-	if j.over || w.Condition != Serving { // a drain is kept from the first word of it
+	if j.over || w.State != Serving { // a drain is kept from the first word of it
 		return false
 	}
-	if !b.maySend(j) || j.c.Kind >= 0 && j.c.Kind != w.Kind {
+	if !b.maySend(j) || j.c.WorkerKind >= 0 && j.c.WorkerKind != w.Kind {
 		return false
 	}
 	first := j.earlier
 	for _, a := range j.attempts {
-		if !a.done && (j.c.Effect != Safe || !b.s.SecondCopies || a.w == w) {
+		if !a.done && (j.c.Idempotency != Idempotent || !b.s.AllowCopies || a.w == w) {
 			return false // a second copy could double an effect
 		}
 		if first == nil && (a.ran || !a.done) {
 			first = a
 		}
 	}
-	if first != nil && j.c.Effect == Keyed { // only the first runner's group knows the key
-		if g := j.c.Group; g == GroupZone && first.w.Zone != w.Zone ||
-			g == GroupCell && first.w.Cell != w.Cell {
+	if first != nil && j.c.Idempotency == Deduplicated { // only the first runner's group knows the key
+		if g := j.c.DedupScope; g == ScopeZone && first.w.Zone != w.Zone ||
+			g == ScopeCell && first.w.Cell != w.Cell {
 			return false
 		}
 	}
@@ -119,7 +119,7 @@
 	switch {
 	case b.largeFleet:
 		w.sure, w.sureAt, w.sign = 0, b.now, signNone
-	case b.s.Peers:
+	case b.s.AllowPeerMessages:
 		b.setSlots(w, min(b.estimate(w), w.running+w.peerRunning))
 	default:
 		w.others = max(w.others, b.estimate(w)-w.running)
@@ -128,12 +128,12 @@
 
 func (b *Balancer) recall(j *job, a *attempt) {
 	if j.over || j.out > 1 && !b.largeFleet || a != j.newest() ||
-		j.spent(b.s.MaxAttempts) || !b.s.Cancel {
+		j.spent(b.s.MaxAttempts) || !b.s.AllowCancel {
 		return
 	}
 	switch {
-	case j.c.Effect == Unsafe: // its place in the queue is all it can have
-	case j.c.Effect == Safe && b.s.SecondCopies:
+	case j.c.Idempotency == NonIdempotent: // its place in the queue is all it can have
+	case j.c.Idempotency == Idempotent && b.s.AllowCopies:
 		b.stuckJobs-- // it waits already
 		if w := b.pick(j, false); w != nil && b.mayCopy() {
 			b.send(j, w)
@@ -141,7 +141,7 @@
 				b.send(j, w)
 			}
 		}
-	case (j.c.Effect == Safe || b.now < a.sent+j.c.Span/2) && b.otherRoom(j, a.w):
+	case (j.c.Idempotency == Idempotent || b.now < a.sent+j.c.DedupWindow/2) && b.otherRoom(j, a.w):
 		if !a.cancelled && b.mayCopy() {
 			j.paid = true
 			b.cancel(j, a)
@@ -155,7 +155,7 @@
 		if w == from || !b.open(w) || !b.free(j, w) {
 			continue
 		}
-		if j.c.Group == GroupAll || j.c.Group == GroupZone && w.Zone == from.Zone || w.Cell == from.Cell {
+		if j.c.DedupScope == ScopeFleet || j.c.DedupScope == ScopeZone && w.Zone == from.Zone || w.Cell == from.Cell {
 			return true
 		}
 	}
@@ -164,14 +164,14 @@
 
 // copyOverdue copies one running job that is past its threshold, if any.
 func (b *Balancer) copyOverdue() bool {
-	if !b.s.SecondCopies || !b.s.Cancel {
+	if !b.s.AllowCopies || !b.s.AllowCancel {
 		return false
 	}
 	overdue := 0
 	var late *job
 	var to *worker
 	for _, j := range b.running {
-		if j.c.Effect != Safe || j.out != 1 || j.over || j.stream {
+		if j.c.Idempotency != Idempotent || j.out != 1 || j.over || j.stream {
 			continue
 		}
 		a := j.newest()
@@ -204,7 +204,7 @@
 	for _, l := range b.kinds[a.w.Kind].limit {
 		least = min(least, l)
 	}
-	stalled := b.s.Progress > 0 && b.now-a.noted > 5*b.s.Progress/2
+	stalled := b.s.ProgressInterval > 0 && b.now-a.noted > 5*b.s.ProgressInterval/2
 	if elapsed < least && !stalled {
 		return nil
 	}
@@ -215,7 +215,7 @@
 	// Progress tells a big job on a sound worker from a straggler.
 	if !stalled && a.share > 0 {
 		run := (a.noted - a.begun).Seconds() / a.share
-		if run*(1-a.share) < b.sizeOf(j)*b.slow(w) || j.Hint <= 0 && 1-a.share < b.slow(w)/b.slow(a.w) {
+		if run*(1-a.share) < b.sizeOf(j)*b.slow(w) || j.ExpectedWork <= 0 && 1-a.share < b.slow(w)/b.slow(a.w) {
 			return nil
 		}
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -84,18 +84,18 @@
 			first = &j.attempts[i]
 		}
 	}
-	if out > 0 && (!r.s.SecondCopies || c.Effect != Safe) {
+	if out > 0 && (!r.s.AllowCopies || c.Idempotency != Idempotent) {
 		r.fatal("job %d has two attempts out", id)
 	}
-	if first != nil && c.Effect == Unsafe {
+	if first != nil && c.Idempotency == NonIdempotent {
 		r.fatal("unsafe job %d sent again", id)
 	}
-	if first != nil && c.Effect == Keyed {
+	if first != nil && c.Idempotency == Deduplicated {
 		f, m := r.members[first.w], r.members[to]
-		if c.Group == GroupZone && f.Zone != m.Zone || c.Group == GroupCell && f.Cell != m.Cell {
+		if c.DedupScope == ScopeZone && f.Zone != m.Zone || c.DedupScope == ScopeCell && f.Cell != m.Cell {
 			r.fatal("keyed job %d left its group", id)
 		}
-		if r.now > first.sent+c.Span-r.s.ConnectTimeout {
+		if r.now > first.sent+c.DedupWindow-r.s.ConnectTimeout {
 			r.fatal("keyed job %d sent so late that a late connection would outlast its span", id)
 		}
 	}
@@ -106,7 +106,7 @@
 
 func (r *referee) Cancel(id JobID, no int) {
 	r.recorder.Cancel(id, no)
-	if !r.s.Cancel || no >= len(r.jobs[id].attempts) {
+	if !r.s.AllowCancel || no >= len(r.jobs[id].attempts) {
 		r.fatal("cancelled attempt %d of job %d", no, id)
 	}
 }
@@ -127,7 +127,7 @@
 	r.recorder.Refuse(id, d)
 	j, c := r.jobs[id], r.s.Classes[r.jobs[id].Class]
 	for _, a := range j.attempts {
-		if (!a.over || a.ran) && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
+		if (!a.over || a.ran) && c.Idempotency != Idempotent && !(c.Idempotency == Deduplicated && c.DedupScope == ScopeFleet) {
 			r.fatal("job %d refused though attempt %d may have run", id, a.no)
 		}
 	}
@@ -139,8 +139,8 @@
 	r.final(id, "failed")
 }
 
-func (r *referee) Wake(d time.Duration, token uint64) {
-	r.recorder.Wake(d, token)
+func (r *referee) SetTimer(d time.Duration, token uint64) {
+	r.recorder.SetTimer(d, token)
 	r.timers = append(r.timers, refTimer{r.now + d, token})
 }
 
@@ -158,12 +158,12 @@
 	for i := range 8 {
 		m := Member{ID: WorkerID(i + 10), Weight: 1, Kind: i % 2, Zone: i % 2, Cell: i / 3}
 		if i == 5 {
-			m.Started = r.now - time.Second
+			m.StartedAt = r.now - time.Second
 		}
 		list = append(list, m)
 		r.members[m.ID] = m
 	}
-	b.Members(r.now, ListCached, list)
+	b.UpdateMembers(r.now, UpdateCached, list)
 	for i := range steps {
 		r.step(b, rng, list, JobID(i+1))
 	}
@@ -178,15 +178,15 @@
 	case 0, 1, 2, 3:
 		class := rng.IntN(len(r.s.Classes))
 		j := Job{ID: id, Class: class, Tenant: rng.IntN(len(r.s.Tenants)+1) - 1, Slots: 1,
-			Patience: time.Duration(1+rng.IntN(4000)) * ms}
+			ClientTimeout: time.Duration(1+rng.IntN(4000)) * ms}
 		if rng.IntN(8) == 0 {
 			j.Slots = 2
 		}
 		if rng.IntN(2) == 0 {
-			j.Hint = time.Duration(1+rng.IntN(2000)) * ms
+			j.ExpectedWork = time.Duration(1+rng.IntN(2000)) * ms
 		}
-		r.jobs[id] = &refJob{Job: j, end: r.now + j.Patience}
-		b.Request(r.now, j)
+		r.jobs[id] = &refJob{Job: j, end: r.now + j.ClientTimeout}
+		b.SubmitJob(r.now, j)
 	case 4, 5, 6:
 		if len(r.open) > 0 {
 			r.end(b, rng.IntN(len(r.open)), Status(rng.IntN(8)))
@@ -194,7 +194,7 @@
 	case 7:
 		if len(r.open) > 0 {
 			a := r.open[rng.IntN(len(r.open))]
-			b.Note(r.now, a.job, a.no, NoteKind(1+rng.IntN(2)), rng.Float64()*1.1)
+			b.AttemptEvent(r.now, a.job, a.no, EventKind(1+rng.IntN(2)), rng.Float64()*1.1)
 		}
 	case 8:
 		r.change(b, rng, list)
@@ -204,27 +204,27 @@
 			for _, a := range r.open {
 				if j := r.jobs[a.job]; j.answer == "" {
 					j.answer = "gone"
-					b.Gone(r.now, a.job)
+					b.ClientGone(r.now, a.job)
 					break
 				}
 			}
 		case 1: // stale events are harmless
-			b.Gone(r.now, 1<<40)
-			b.Outcome(r.now, Result{Job: 1 << 40, Worker: 10})
+			b.ClientGone(r.now, 1<<40)
+			b.AttemptDone(r.now, AttemptResult{Job: 1 << 40, Worker: 10})
 			if old := r.jobs[id/2]; old != nil && old.answer != "" {
 				for _, a := range old.attempts {
 					if a.over {
-						b.Outcome(r.now, Result{Job: old.ID, Attempt: a.no, Worker: a.w, Status: StatusMoot})
+						b.AttemptDone(r.now, AttemptResult{Job: old.ID, Attempt: a.no, Worker: a.w, Status: StatusNotSent})
 					}
 				}
 			}
-			b.Note(r.now, id/2, 77, NoteStarted, 0)
-			b.Timer(r.now, 1<<50)
-			b.First(r.now, 1<<40, 0)
+			b.AttemptEvent(r.now, id/2, 77, EventStarted, 0)
+			b.TimerFired(r.now, 1<<50)
+			b.StreamStarted(r.now, 1<<40, 0)
 		case 2:
-			b.Peer(r.now, rng.IntN(5)-1, []byte{byte(rng.IntN(4)), 0, 0, 0, 12, byte(rng.IntN(256))})
+			b.PeerMessage(r.now, rng.IntN(5)-1, []byte{byte(rng.IntN(4)), 0, 0, 0, 12, byte(rng.IntN(256))})
 		case 3:
-			b.Probed(r.now, 12, Status(rng.IntN(8)), ms, Report{1, 0, 0.5, 0, 2, 2})
+			b.ProbeDone(r.now, 12, Status(rng.IntN(8)), ms, LoadReport{1, 0, 0.5, 0, 2, 2})
 		}
 	}
 }
@@ -236,7 +236,7 @@
 			r.timers = slices.Delete(r.timers, i, i+1)
 			now := r.now
 			r.now = tm.at
-			b.Timer(tm.at, tm.token)
+			b.TimerFired(tm.at, tm.token)
 			r.now = now
 			i = -1
 		}
@@ -268,32 +268,32 @@
 		r.final(a.job, "served")
 		closed = true
 	}
-	b.Outcome(r.now, Result{Job: a.job, Attempt: a.no, Worker: a.w, Status: st, Elapsed: r.now - a.sent,
-		Closed: closed, Report: NoReport()})
+	b.AttemptDone(r.now, AttemptResult{Job: a.job, Attempt: a.no, Worker: a.w, Status: st, Elapsed: r.now - a.sent,
+		JobDone: closed, Report: NoLoadReport()})
 }
 
 func (r *referee) change(b *Balancer, rng *rand.Rand, list []Member) {
 	switch rng.IntN(4) {
 	case 0:
-		b.Members(r.now, ListFailed, nil)
+		b.UpdateMembers(r.now, UpdateFailed, nil)
 	case 1: // everything serves again; two at most have restarted
 		for i := range list {
-			list[i].Condition = Serving
+			list[i].State = Serving
 			delete(r.told, list[i].ID)
 			if rng.IntN(4) == 0 {
-				list[i].Started = r.now
+				list[i].StartedAt = r.now
 			}
 			r.members[list[i].ID] = list[i]
 		}
-		b.Members(r.now, ListFull, list)
+		b.UpdateMembers(r.now, UpdateFull, list)
 	default:
 		m := list[rng.IntN(len(list))]
-		m.Condition = Condition(rng.IntN(3))
+		m.State = WorkerState(rng.IntN(3))
 		delete(r.told, m.ID)
-		if m.Condition != Serving {
+		if m.State != Serving {
 			r.told[m.ID] = r.now
 		}
-		b.Members(r.now, ListChange, []Member{m})
+		b.UpdateMembers(r.now, UpdateDelta, []Member{m})
 	}
 }
 
@@ -327,17 +327,17 @@
 
 func variants() map[string]Settings {
 	base := settings()
-	base.AskList = true
+	base.PullMembers = true
 	base.Tenants = []Tenant{{Name: "a", Quota: 3}, {Name: "b", Quota: 1}}
 	peers, plain, late := base, base, base
-	peers.Peers, peers.Fleet, peers.Progress = true, 3, time.Second
-	plain.Cancel, plain.SecondCopies, plain.TellsStart, plain.AskList = false, false, false, false
+	peers.AllowPeerMessages, peers.FleetSize, peers.ProgressInterval = true, 3, time.Second
+	plain.AllowCancel, plain.AllowCopies, plain.ReportsStart, plain.PullMembers = false, false, false, false
 	late.Classes = slices.Clone(base.Classes)
 	for i := range late.Classes {
-		late.Classes[i].Span = time.Second
+		late.Classes[i].DedupWindow = time.Second
 		late.Classes[i].LateWorth = 0.25
 	}
-	late.Probes, late.Memory, late.WorkWorth = true, true, true
+	late.AllowProbes, late.TracksMemory, late.WorthByWork = true, true, true
 	return map[string]Settings{"base": base, "peers": peers, "plain": plain, "late": late}
 }
 
@@ -357,10 +357,10 @@
 	f.Add(uint64(1), uint16(300), uint8(0), uint8(3), uint8(4))
 	f.Fuzz(func(t *testing.T, seed uint64, steps uint16, allow, fleet, attempts uint8) {
 		s := variants()["base"]
-		s.Peers, s.Probes, s.Memory = allow&1 > 0, allow&2 > 0, allow&4 > 0
-		s.Cancel, s.SecondCopies, s.TellsStart = allow&8 == 0, allow&16 == 0, allow&32 == 0
-		s.WorkWorth, s.NoWeights = allow&64 > 0, allow&128 > 0
-		s.Fleet, s.MaxAttempts = 1+int(fleet%24), 1+int(attempts%6)
+		s.AllowPeerMessages, s.AllowProbes, s.TracksMemory = allow&1 > 0, allow&2 > 0, allow&4 > 0
+		s.AllowCancel, s.AllowCopies, s.ReportsStart = allow&8 == 0, allow&16 == 0, allow&32 == 0
+		s.WorthByWork, s.IgnoreWeights = allow&64 > 0, allow&128 > 0
+		s.FleetSize, s.MaxAttempts = 1+int(fleet%24), 1+int(attempts%6)
 		drive(t, s, seed, int(steps%2000))
 	})
 }
@@ -387,7 +387,7 @@
 	for i := range 16 {
 		list = append(list, Member{ID: WorkerID(i), Weight: 1})
 	}
-	bal.Members(0, ListFull, list)
+	bal.UpdateMembers(0, UpdateFull, list)
 	b.ReportAllocs()
 	for i := range b.N {
 		oneRequest(bal, time.Duration(i)*100*ms, JobID(i))
@@ -395,9 +395,9 @@
 }
 
 func oneRequest(bal *Balancer, now time.Duration, id JobID) {
-	bal.Request(now, Job{ID: id, Tenant: -1, Patience: 8 * time.Second, Slots: 1})
-	bal.Note(now+ms, id, 0, NoteStarted, 0)
-	bal.Outcome(now+50*ms, Result{Job: id, Status: StatusOK, Closed: true, Report: NoReport()})
+	bal.SubmitJob(now, Job{ID: id, Tenant: -1, ClientTimeout: 8 * time.Second, Slots: 1})
+	bal.AttemptEvent(now+ms, id, 0, EventStarted, 0)
+	bal.AttemptDone(now+50*ms, AttemptResult{Job: id, Status: StatusOK, JobDone: true, Report: NoLoadReport()})
 }
 
 // A request's path allocates its job, its attempt and their slots, and no more.
@@ -406,7 +406,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bal.Members(0, ListFull, []Member{{ID: 0, Weight: 1}})
+	bal.UpdateMembers(0, UpdateFull, []Member{{ID: 0, Weight: 1}})
 	i := 0
 	n := testing.AllocsPerRun(500, func() {
 		i++
@@ -423,9 +423,9 @@
 func (nullHost) Cancel(JobID, int)                   {}
 func (nullHost) Refuse(JobID, time.Duration)         {}
 func (nullHost) Fail(JobID)                          {}
-func (nullHost) Wake(time.Duration, uint64)          {}
+func (nullHost) SetTimer(time.Duration, uint64)      {}
 func (nullHost) Watch()                              {}
 func (nullHost) Fetch()                              {}
-func (nullHost) Tell(int, []byte)                    {}
+func (nullHost) SendToPeer(int, []byte)              {}
 func (nullHost) Probe(WorkerID)                      {}
 func (nullHost) Log(string)                          {}
--- a/balance/schedule.go
+++ b/balance/schedule.go
@@ -123,7 +123,7 @@
 	if len(b.dirty) > 0 {
 		soon(b.tellAt)
 	}
-	if b.s.Peers && b.s.Progress == 0 && len(b.running) > 0 {
+	if b.s.AllowPeerMessages && b.s.ProgressInterval == 0 && len(b.running) > 0 {
 		soon(b.heartbeatAt + heartbeatInterval) // long work would pass for a dead peer's
 	}
 	for _, j := range b.queue[:min(len(b.queue), lookahead)] {
@@ -149,6 +149,6 @@
 	if at < b.armed && at < math.MaxInt64 {
 		b.armed = at
 		b.token++
-		b.host.Wake(max(at-b.now, b.s.Tick), b.token)
+		b.host.SetTimer(max(at-b.now, b.s.Tick), b.token)
 	}
 }
--- a/balance/shares_test.go
+++ b/balance/shares_test.go
@@ -16,15 +16,15 @@
 	sent  int
 }
 
-func (p *purse) Sent() { p.sent++ }
+func (p *purse) CountFirstSend() { p.sent++ }
 
-func (p *purse) Again() bool {
+func (p *purse) AllowRepeat() bool {
 	p.wants++
 	p.again--
 	return p.again >= 0
 }
 
-func (p *purse) First(tenant int, work float64) (bool, bool, time.Duration) {
+func (p *purse) Admit(tenant int, work float64) (bool, bool, time.Duration) {
 	if tenant != 0 {
 		return false, true, 0
 	}
@@ -37,24 +37,24 @@
 // run in an earlier process was admitted then, and is not asked for again.
 func TestSharesAdmit(t *testing.T) {
 	s := settings()
-	s.Tenants, s.MaxRetryAfter, s.OverShare = []Tenant{{Name: "a"}, {Name: "b", Quota: 100}}, 200*ms, 0.05
+	s.Tenants, s.MaxRetryAfter, s.OverQuotaWorth = []Tenant{{Name: "a"}, {Name: "b", Quota: 100}}, 200*ms, 0.05
 	b, r := fixture(t, s, 4)
 	p := &purse{left: 1}
-	b.Budgets(p)
+	b.SetBudget(p)
 	job := func(id JobID, tenant int) Job {
-		return Job{ID: id, Class: safe, Tenant: tenant, Patience: 8 * time.Second, Hint: 20 * ms, Slots: 1}
+		return Job{ID: id, Class: safe, Tenant: tenant, ClientTimeout: 8 * time.Second, ExpectedWork: 20 * ms, Slots: 1}
 	}
-	b.Request(10*time.Second, job(1, 0))
+	b.SubmitJob(10*time.Second, job(1, 0))
 	require.InDelta(t, 1.0, b.jobs[1].worth, 0, "a tenant of no quota of its own, within the fleet's budget, has its whole worth")
-	b.Request(10*time.Second, job(2, 0))
+	b.SubmitJob(10*time.Second, job(2, 0))
 	require.Equal(t, "refused", r.answers[2])
 	require.Zero(t, r.sentTo(2))
 	require.Equal(t, []float64{0.02, 0.02}, p.asked)
-	b.Request(10*time.Second, job(3, 1))
+	b.SubmitJob(10*time.Second, job(3, 1))
 	require.Equal(t, 1, r.sentTo(3), "a tenant without a budget is not refused")
 	again := job(4, 0)
-	again.Earlier = &Earlier{}
-	b.Request(10*time.Second, again)
+	again.PriorAttempt = &PriorAttempt{}
+	b.SubmitJob(10*time.Second, again)
 	require.Equal(t, 1, r.sentTo(4))
 	require.Len(t, p.asked, 2)
 }
@@ -64,13 +64,13 @@
 func TestRepeatsAreAskedFor(t *testing.T) {
 	b, r := fixture(t, settings(), 4)
 	p := &purse{again: 1}
-	b.Budgets(p)
+	b.SetBudget(p)
 	now := 10 * time.Second
 	fail := func(st Status) {
 		now += 10 * ms
 		end(b, now, r.last(), st)
 	}
-	b.Request(now, Job{ID: 1, Class: safe, Tenant: -1, Patience: 8 * time.Second, Hint: 20 * ms, Slots: 1})
+	b.SubmitJob(now, Job{ID: 1, Class: safe, Tenant: -1, ClientTimeout: 8 * time.Second, ExpectedWork: 20 * ms, Slots: 1})
 	require.Equal(t, 1, p.sent)
 	fail(StatusFull)
 	require.Equal(t, 2, r.sentTo(1))
@@ -90,7 +90,7 @@
 	for _, again := range []int{0, 1} {
 		b, r := overdueFixture(t, settings())
 		p := &purse{again: again}
-		b.Budgets(p)
+		b.SetBudget(p)
 		for step := range 400 {
 			b.now = 3*time.Second + time.Duration(step)*ms
 			b.schedule()
--- a/balance/state.go
+++ b/balance/state.go
@@ -23,7 +23,7 @@
 // back sooner is known again by its way: its zone, its lag, what peers hold there.
 func (b *Balancer) purge() {
 	b.workers = slices.DeleteFunc(b.workers, func(w *worker) bool {
-		if w.Condition != Gone {
+		if w.State != Gone {
 			w.gone = b.now
 		}
 		if b.now-w.gone < time.Minute || w.used > 0 || w.dirty {
@@ -38,7 +38,7 @@
 type Balancer struct {
 	s             Settings
 	host          Host
-	shares        Shares        // nil without a fleet's budgets
+	shares        FleetBudget   // nil without a fleet's budgets
 	copiesDenied  time.Duration // until then no copy is asked for
 	rng           *rand.Rand
 	now           time.Duration
@@ -96,12 +96,12 @@
 	if t < 0 || t >= len(b.tenants) {
 		return 1
 	}
-	rate := b.s.Tenants[t].Quota / float64(b.s.Fleet)
+	rate := b.s.Tenants[t].Quota / float64(b.s.FleetSize)
 	bucket := &b.tenants[t]
 	bucket.tokens = min(bucket.tokens+rate*(b.now-bucket.at).Seconds(), max(1, 2*rate))
 	bucket.at = b.now
 	if bucket.tokens < 1 {
-		return b.s.OverShare
+		return b.s.OverQuotaWorth
 	}
 	bucket.tokens--
 	return 1
@@ -127,7 +127,7 @@
 	}
 	b := &Balancer{s: s, host: h, rng: rand.New(rand.NewPCG(s.Seed, uint64(s.Position))), // #nosec
 		byID: map[WorkerID]*worker{}, jobs: map[JobID]*job{}, pace: 1, since: math.MaxInt64, nextEnd: math.MaxInt64, armed: math.MaxInt64,
-		kinds: make([]kind, s.Kinds+1), tenants: make([]tenant, len(s.Tenants)), peerSeen: make([]time.Duration, s.Fleet), logged: map[string]time.Duration{}}
+		kinds: make([]kind, s.WorkerKinds+1), tenants: make([]tenant, len(s.Tenants)), peerSeen: make([]time.Duration, s.FleetSize), logged: map[string]time.Duration{}}
 	for _, c := range s.Classes {
 		// A class not yet seen is taken for small beside its clients' patience.
 		guess := c.guess()
@@ -143,8 +143,8 @@
 	return b, nil
 }
 
-// Budgets has new jobs admitted by a fleet's budgets from now on.
-func (b *Balancer) Budgets(s Shares) { b.shares = s }
+// SetBudget has new jobs admitted by a fleet's budgets from now on.
+func (b *Balancer) SetBudget(s FleetBudget) { b.shares = s }
 
 // mayCopy asks the fleet's budget for a second copy. Copies are wanted at every step for as long as their
 // job is late, so after a no none is asked for a while.
@@ -155,7 +155,7 @@
 	if b.now < b.copiesDenied {
 		return false
 	}
-	if !b.shares.Again() {
+	if !b.shares.AllowRepeat() {
 		b.copiesDenied = b.now + seconds(b.meanRun()/4)
 		return false
 	}
@@ -166,31 +166,31 @@
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("no Classes")
-	case s.Fleet < 1 || s.Position < 0 || s.Position >= s.Fleet:
-		return fmt.Errorf("bad Position, Fleet: %d of %d", s.Position, s.Fleet)
+	case s.FleetSize < 1 || s.Position < 0 || s.Position >= s.FleetSize:
+		return fmt.Errorf("bad Position, Fleet: %d of %d", s.Position, s.FleetSize)
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("bad MaxAttempts: %d", s.MaxAttempts)
-	case s.Kinds < 0:
-		return fmt.Errorf("negative Kinds: %d", s.Kinds)
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.FallFactor < 0:
-		return fmt.Errorf("bad ColdFrom, FallFactor: %v, %v", s.ColdFrom, s.FallFactor)
+	case s.WorkerKinds < 0:
+		return fmt.Errorf("negative Kinds: %d", s.WorkerKinds)
+	case s.ColdCapacity < 0 || s.ColdCapacity > 1 || s.OverloadFactor < 0:
+		return fmt.Errorf("bad ColdFrom, FallFactor: %v, %v", s.ColdCapacity, s.OverloadFactor)
 	}
 	for _, d := range []struct {
 		name string
 		v    time.Duration
 	}{{"ConnectTimeout", s.ConnectTimeout}, {"Tick", s.Tick}, {"WarmUp", s.WarmUp},
-		{"AskWithin", s.AskWithin}, {"FallSpan", s.FallSpan}, {"Progress", s.Progress}} {
+		{"AskWithin", s.PullInterval}, {"FallSpan", s.OverloadWindow}, {"Progress", s.ProgressInterval}} {
 		if d.v < 0 {
 			return fmt.Errorf("%s: negative: %v", d.name, d.v)
 		}
 	}
 	for i, c := range s.Classes {
-		if c.Effect > Unsafe || c.Group > GroupCell || c.Kind >= s.Kinds {
-			return fmt.Errorf("bad Classes[%d]: Effect %d, Group %d, Kind %d", i, c.Effect, c.Group, c.Kind)
+		if c.Idempotency > NonIdempotent || c.DedupScope > ScopeCell || c.WorkerKind >= s.WorkerKinds {
+			return fmt.Errorf("bad Classes[%d]: Effect %d, Group %d, Kind %d", i, c.Idempotency, c.DedupScope, c.WorkerKind)
 		}
-		if c.Deadline <= 0 || c.Aim < 0 || c.Span < 0 || c.Stretch < 0 {
-			return fmt.Errorf("bad Classes[%d]: Deadline %v, Aim %v, Span %v, Stretch %v", i, c.Deadline, c.Aim,
-				c.Span, c.Stretch)
+		if c.Deadline <= 0 || c.Target < 0 || c.DedupWindow < 0 || c.Stretch < 0 {
+			return fmt.Errorf("bad Classes[%d]: Deadline %v, Aim %v, Span %v, Stretch %v", i, c.Deadline, c.Target,
+				c.DedupWindow, c.Stretch)
 		}
 	}
 	return nil
@@ -272,30 +272,30 @@
 }
 
 func (b *Balancer) cancel(j *job, a *attempt) {
-	if !a.cancelled && b.s.Cancel {
+	if !a.cancelled && b.s.AllowCancel {
 		a.cancelled = true
 		b.host.Cancel(j.ID, a.no)
 	}
 }
 
 func (b *Balancer) member(m Member) {
-	if m.Kind < 0 || m.Kind >= b.s.Kinds {
-		m.Kind = b.s.Kinds
+	if m.Kind < 0 || m.Kind >= b.s.WorkerKinds {
+		m.Kind = b.s.WorkerKinds
 	}
 	w := b.byID[m.ID]
 	if w == nil {
-		w = &worker{peers: make([]byte, b.s.Fleet), lag: b.s.ConnectTimeout.Seconds() / 4}
+		w = &worker{peers: make([]byte, b.s.FleetSize), lag: b.s.ConnectTimeout.Seconds() / 4}
 		b.byID[m.ID] = w
 		b.workers = append(b.workers, w)
-	} else if m.Started != w.Started {
+	} else if m.StartedAt != w.StartedAt {
 		// A restarted worker is another machine but for its name: old health,
 		// speed and size would mislead.
 		w.slots, w.size, w.count, w.errors, w.strikes, w.held = 0, 0, 0, 0, 0, 0
 		w.others, w.reports = 0, 0
 	}
 	w.Member, w.group = m, b.groupOf(&m)
-	if m.Started > 0 {
-		b.coldUntil = max(b.coldUntil, m.Started+b.s.WarmUp)
+	if m.StartedAt > 0 {
+		b.coldUntil = max(b.coldUntil, m.StartedAt+b.s.WarmUp)
 	}
 }
 
@@ -303,13 +303,13 @@
 // release makes hundreds of workers cold, and looking at each for every choice costs CPU.
 func (b *Balancer) ownTurns() []*worker {
 	if b.now >= b.turnsAt {
-		b.turnsAt = b.now + b.s.FallSpan/2
+		b.turnsAt = b.now + b.s.OverloadWindow/2
 		b.turns = b.turns[:0]
 		for _, w := range b.workers {
 			if b.now >= b.coldUntil {
 				break
 			}
-			if age := max(0, b.now-w.Started); b.isCold(w) && b.coldPart(w, age) > 0 {
+			if age := max(0, b.now-w.StartedAt); b.isCold(w) && b.coldPart(w, age) > 0 {
 				b.turns = append(b.turns, w)
 			}
 		}
@@ -322,9 +322,9 @@
 // as discovery returns and for the next one. Calls of a large fleet would keep an overbooked discovery
 // overbooked: its gaps grow with it.
 func (b *Balancer) askMost() time.Duration {
-	most := min(max(time.Second, time.Duration(b.s.Fleet)*40*time.Millisecond), 4*time.Second)
-	if b.s.AskWithin > 0 {
-		return min(most, b.s.AskWithin/2)
+	most := min(max(time.Second, time.Duration(b.s.FleetSize)*40*time.Millisecond), 4*time.Second)
+	if b.s.PullInterval > 0 {
+		return min(most, b.s.PullInterval/2)
 	}
 	return most
 }
--- a/balance/thresholds.go
+++ b/balance/thresholds.go
@@ -21,7 +21,7 @@
 	for _, j := range b.running { // unfinished work is a sample too, or stragglers would not show
 		a := j.attempts[len(j.attempts)-1]
 		size := b.sizeOf(j)
-		if j.Hint <= 0 { // only what is too long for a large job can be the worker's doing
+		if j.ExpectedWork <= 0 { // only what is too long for a large job can be the worker's doing
 			size = math.Exp(j.c.logMean + 2*math.Sqrt(j.c.logVar))
 		}
 		if x := (b.now - a.begun).Seconds() / size; !a.done && a.started && x > b.slow(a.w) {
@@ -35,18 +35,18 @@
 		for i := range u + 1 {
 			b.kinds[u].limit[i], b.kinds[i].limit[u] = math.Inf(1), math.Inf(1)
 			if len(windows[u]) >= thinned && len(windows[i]) >= thinned {
-				out, back := Thresholds(windows[u], windows[i], sizes, b.lag)
+				out, back := CopyThresholds(windows[u], windows[i], sizes, b.lag)
 				b.kinds[u].limit[i], b.kinds[i].limit[u] = out, back
 			}
 		}
 	}
 }
 
-// Thresholds returns the elapsed times after which a job begun on a worker of the
+// CopyThresholds returns the elapsed times after which a job begun on a worker of the
 // first kind (samples x1) is copied to one of the second (x2), and the reverse.
 // Each is the best with the other at infinity, equation (27) of the paper; both
 // stay finite only if equation (23) then promises more than either alone.
-func Thresholds(x1, x2, sizes []float64, window float64) (out, back float64) {
+func CopyThresholds(x1, x2, sizes []float64, window float64) (out, back float64) {
 	out, r1 := threshold(x1, x2, sizes, window)
 	back, r2 := threshold(x2, x1, sizes, window)
 	both := bothRate(x1, x2, sizes, window, out, back)
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -107,23 +107,23 @@
 	now := d.frame.Now
 	switch e.Kind {
 	case wire.Members:
-		b.Members(now, e.List, e.Members)
+		b.UpdateMembers(now, e.List, e.Members)
 	case wire.Request:
-		b.Request(now, e.Job)
+		b.SubmitJob(now, e.Job)
 	case wire.First:
-		b.First(now, e.Job.ID, e.Result.Attempt)
+		b.StreamStarted(now, e.Job.ID, e.Result.Attempt)
 	case wire.Outcome:
-		b.Outcome(now, e.Result)
+		b.AttemptDone(now, e.Result)
 	case wire.Gone:
-		b.Gone(now, e.Job.ID)
+		b.ClientGone(now, e.Job.ID)
 	case wire.Timer:
-		b.Timer(now, e.Token)
+		b.TimerFired(now, e.Token)
 	case wire.Peer:
-		b.Peer(now, e.From, e.Data)
+		b.PeerMessage(now, e.From, e.Data)
 	case wire.Probed:
-		b.Probed(now, e.Result.Worker, e.Result.Status, e.Result.Elapsed, e.Result.Report)
+		b.ProbeDone(now, e.Result.Worker, e.Result.Status, e.Result.Elapsed, e.Result.Report)
 	case wire.Note:
-		b.Note(now, e.Job.ID, e.Result.Attempt, e.Note, e.Amount)
+		b.AttemptEvent(now, e.Job.ID, e.Result.Attempt, e.Note, e.Amount)
 	}
 }
 
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -5,12 +5,12 @@
 )
 
 // Started takes a worker's word that it has begun with an attempt.
-func (c *Core) Started(t *Attempt) { c.note(t, balance.NoteStarted, 0) }
+func (c *Core) Started(t *Attempt) { c.note(t, balance.EventStarted, 0) }
 
 // Progress takes a worker's word on how much of an attempt it has done.
-func (c *Core) Progress(t *Attempt, share float64) { c.note(t, balance.NoteProgress, share) }
+func (c *Core) Progress(t *Attempt, share float64) { c.note(t, balance.EventProgress, share) }
 
-func (c *Core) note(t *Attempt, kind balance.NoteKind, share float64) {
+func (c *Core) note(t *Attempt, kind balance.EventKind, share float64) {
 	c.post(func() {
 		if t.done {
 			return
@@ -24,7 +24,7 @@
 				p.Started(t)
 			}
 		}
-		c.balancer.Note(c.now, t.Request.job, t.No, kind, share)
+		c.balancer.AttemptEvent(c.now, t.Request.job, t.No, kind, share)
 	})
 }
 
@@ -62,11 +62,11 @@
 	switch s {
 	case balance.StatusOK:
 		c.answer(request, Answer{Verdict: Served, Result: result})
-	case balance.StatusUnfit:
+	case balance.StatusInvalid:
 		c.answer(request, Answer{Verdict: Failed, Unfit: true, Reason: "a worker turned the request itself away"})
 	}
-	c.balancer.Outcome(c.now, balance.Result{Job: request.job, Attempt: t.No, Worker: t.Worker.ID, Status: s,
-		Elapsed: c.now - t.sent, Closed: request.over, Report: balance.NoReport()})
+	c.balancer.AttemptDone(c.now, balance.AttemptResult{Job: request.job, Attempt: t.No, Worker: t.Worker.ID, Status: s,
+		Elapsed: c.now - t.sent, JobDone: request.over, Report: balance.NoLoadReport()})
 	c.forget(request)
 }
 
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -78,7 +78,7 @@
 	// nothing new to them from the turn after the change, and tells it by OverridesApplied.
 	Hand *override.Set
 	// Shares are what a fleet's budgets leave to this dispatcher; nil for none. A Policy is not handed them.
-	Shares balance.Shares
+	Shares balance.FleetBudget
 	// Policy makes what decides in place of balance, for experiments that set other policies
 	// beside it; balance.New where nil. The fronts of the daemon leave it nil.
 	Policy func(balance.Settings, balance.Host) (Policy, error)
@@ -87,13 +87,13 @@
 // Policy decides for a core: balance.Balancer in service, a comparison policy in experiments. The
 // core calls it on its own goroutine, and it acts through the Host alone.
 type Policy interface {
-	Members(now time.Duration, how balance.ListKind, list []balance.Member)
-	Request(now time.Duration, j balance.Job)
-	Timer(now time.Duration, token uint64)
-	Gone(now time.Duration, id balance.JobID)
-	Note(now time.Duration, id balance.JobID, attempt int, what balance.NoteKind, share float64)
-	Outcome(now time.Duration, r balance.Result)
-	Probed(now time.Duration, w balance.WorkerID, st balance.Status, took time.Duration, r balance.Report)
+	UpdateMembers(now time.Duration, how balance.UpdateKind, list []balance.Member)
+	SubmitJob(now time.Duration, j balance.Job)
+	TimerFired(now time.Duration, token uint64)
+	ClientGone(now time.Duration, id balance.JobID)
+	AttemptEvent(now time.Duration, id balance.JobID, attempt int, what balance.EventKind, share float64)
+	AttemptDone(now time.Duration, r balance.AttemptResult)
+	ProbeDone(now time.Duration, w balance.WorkerID, st balance.Status, took time.Duration, r balance.LoadReport)
 	View(now time.Duration) balance.View
 }
 
@@ -123,7 +123,7 @@
 	}
 	b, err := balance.New(o.Settings, host{c})
 	if err == nil && o.Shares != nil {
-		b.Budgets(o.Shares)
+		b.SetBudget(o.Shares)
 	}
 	c.balancer = b
 	return c, err
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -26,9 +26,9 @@
 
 func play(t *testing.T, workers int, settings func(*balance.Settings), scene func(*Core, *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := balance.Settings{Fleet: 1, Kinds: 1, MaxAttempts: 3, Cancel: true, SecondCopies: true, AskList: true,
-			ConnectTimeout: 250 * time.Millisecond, Tick: 5 * time.Millisecond, TellsStart: true, MaxRetryAfter: 2 * time.Second,
-			Classes: []balance.Class{{Name: "price-read", Aim: time.Second, Stretch: 2, Deadline: 5 * time.Second, Worth: 1, Kind: -1}}}
+		s := balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 3, AllowCancel: true, AllowCopies: true, PullMembers: true,
+			ConnectTimeout: 250 * time.Millisecond, Tick: 5 * time.Millisecond, ReportsStart: true, MaxRetryAfter: 2 * time.Second,
+			Classes: []balance.Class{{Name: "price-read", Target: time.Second, Stretch: 2, Deadline: 5 * time.Second, Worth: 1, WorkerKind: -1}}}
 		if settings != nil {
 			settings(&s)
 		}
@@ -41,7 +41,7 @@
 		for i := range workers {
 			list = append(list, Worker{Name: string(rune('a' + i)), Member: balance.Member{ID: balance.WorkerID(i + 1), Weight: 1}})
 		}
-		c.UpdateMembers(balance.ListCached, list)
+		c.UpdateMembers(balance.UpdateCached, list)
 		scene(c, f)
 	})
 }
@@ -100,7 +100,7 @@
 
 // What finds too many open is refused at once, with a time to come back, and sent nowhere.
 func TestTooManyOpen(t *testing.T) {
-	play(t, 1, func(s *balance.Settings) { s.MaxOpen = 1 }, func(c *Core, f *fleet) {
+	play(t, 1, func(s *balance.Settings) { s.MaxOpenJobs = 1 }, func(c *Core, f *fleet) {
 		submit(c, f)
 		submit(c, f)
 		require.Equal(t, []Answer{{Verdict: Refused, RetryAfter: time.Second, Reason: "too many open requests"}}, f.answers)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -63,9 +63,9 @@
 	Memory   float64
 	Payload  any // the front's own; drivers find it at each attempt
 	Client   Client
-	Trace    string           // a traceparent that the client sent, or empty
-	State    string           // a tracestate that came with it, or empty
-	Earlier  *balance.Earlier // an attempt from before the Submit that may have run, or nil
+	Trace    string                // a traceparent that the client sent, or empty
+	State    string                // a tracestate that came with it, or empty
+	Earlier  *balance.PriorAttempt // an attempt from before the Submit that may have run, or nil
 
 	// Asked is when Submit was called, and Hooked how long the hook took; Submit sets them.
 	Asked  time.Time
--- a/dispatch/host.go
+++ b/dispatch/host.go
@@ -33,7 +33,7 @@
 	if !known || request.over || t.Wait <= 0 || request.spent(h.settings.MaxAttempts) || request.unsettled[to] > 0 ||
 		h.out[worker.Name] {
 		t.settled, t.unsent = true, true
-		h.deferred = append(h.deferred, func() { h.ended(t, balance.StatusMoot, nil) })
+		h.deferred = append(h.deferred, func() { h.ended(t, balance.StatusNotSent, nil) })
 		return
 	}
 	t.limit = h.after(t.Wait, func() {
@@ -69,20 +69,22 @@
 	}
 }
 
-func (h host) Wake(after time.Duration, token uint64) {
-	h.after(after, func() { h.balancer.Timer(h.now, token) })
+func (h host) SetTimer(after time.Duration, token uint64) {
+	h.after(after, func() { h.balancer.TimerFired(h.now, token) })
 }
 
 func (h host) Watch() { h.table.Watch() }
 func (h host) Fetch() { h.table.Fetch() }
 
-// Tell and Probe are for sites that allow messages between dispatchers or probes; the
+// SendToPeer and Probe are for sites that allow messages between dispatchers or probes; the
 // fronts have neither, and the configuration turns both off.
-func (h host) Tell(to int, data []byte) { h.log.Debug("no way to tell", "to", to, "bytes", len(data)) }
+func (h host) SendToPeer(to int, data []byte) {
+	h.log.Debug("no way to tell", "to", to, "bytes", len(data))
+}
 
 func (h host) Probe(w balance.WorkerID) {
 	h.deferred = append(h.deferred, func() {
-		h.balancer.Probed(h.now, w, balance.StatusMoot, 0, balance.NoReport())
+		h.balancer.ProbeDone(h.now, w, balance.StatusNotSent, 0, balance.NoLoadReport())
 	})
 }
 
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -7,21 +7,21 @@
 )
 
 // UpdateMembers takes word of discovery.
-func (c *Core) UpdateMembers(how balance.ListKind, list []Worker) {
+func (c *Core) UpdateMembers(how balance.UpdateKind, list []Worker) {
 	c.post(func() {
 		before := c.members
-		if how != balance.ListChange {
+		if how != balance.UpdateDelta {
 			c.members = make(map[balance.WorkerID]Worker, len(list))
 		}
 		members := make([]balance.Member, len(list))
 		for i, r := range list {
 			members[i] = c.overridden(r)
-			if was, ok := before[r.ID]; ok && was.Condition == balance.Serving && r.Condition != balance.Serving {
+			if was, ok := before[r.ID]; ok && was.State == balance.Serving && r.State != balance.Serving {
 				for _, p := range c.phases {
 					p.Drained(r)
 				}
 			}
-			if r.Condition == balance.Gone {
+			if r.State == balance.Gone {
 				delete(c.members, r.ID)
 			} else {
 				c.members[r.ID] = r
@@ -37,7 +37,7 @@
 			c.hand.UpdateMembers(time.Now(), names...)
 		}
 		c.workers.UpdateMembers(all)
-		c.balancer.Members(c.now, how, members)
+		c.balancer.UpdateMembers(c.now, how, members)
 	})
 }
 
@@ -45,14 +45,14 @@
 // table says, and one taken back is as cold as a new start, since it was restarted meanwhile.
 func (c *Core) overridden(r Worker) balance.Member {
 	m := r.Member
-	if c.out[r.Name] && m.Condition == balance.Serving {
-		m.Condition = balance.Draining
+	if c.out[r.Name] && m.State == balance.Serving {
+		m.State = balance.Draining
 	}
 	if at, ok := c.back[r.ID]; ok {
-		if m.Started >= at { // a start after the call back is the table's own word
+		if m.StartedAt >= at { // a start after the call back is the table's own word
 			delete(c.back, r.ID)
 		} else {
-			m.Started = at
+			m.StartedAt = at
 		}
 	}
 	return m
@@ -80,7 +80,7 @@
 	c.out = out // also the names that the table does not list now: the ban holds when they return
 	c.heard.Store(state.Gen)
 	if len(changed) > 0 {
-		c.balancer.Members(c.now, balance.ListChange, changed)
+		c.balancer.UpdateMembers(c.now, balance.UpdateDelta, changed)
 	}
 }
 
@@ -90,5 +90,5 @@
 // UpdateFailed takes word that an inquiry of discovery failed, or that the
 // subscription broke.
 func (c *Core) UpdateFailed() {
-	c.post(func() { c.balancer.Members(c.now, balance.ListFailed, nil) })
+	c.post(func() { c.balancer.UpdateMembers(c.now, balance.UpdateFailed, nil) })
 }
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -15,16 +15,16 @@
 // playBanned is play with a book of hand bans that the core obeys.
 func playBanned(t *testing.T, workers int, scene func(*Core, *fleet, *override.Set)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := balance.Settings{Fleet: 1, Kinds: 1, MaxAttempts: 3, Cancel: true, SecondCopies: true, AskList: true,
-			ConnectTimeout: 250 * time.Millisecond, Tick: 5 * time.Millisecond, TellsStart: true, MaxRetryAfter: 2 * time.Second,
-			Classes: []balance.Class{{Name: "price-read", Aim: time.Second, Stretch: 2, Deadline: 5 * time.Second, Worth: 1, Kind: -1}}}
+		s := balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 3, AllowCancel: true, AllowCopies: true, PullMembers: true,
+			ConnectTimeout: 250 * time.Millisecond, Tick: 5 * time.Millisecond, ReportsStart: true, MaxRetryAfter: 2 * time.Second,
+			Classes: []balance.Class{{Name: "price-read", Target: time.Second, Stretch: 2, Deadline: 5 * time.Second, Worth: 1, WorkerKind: -1}}}
 		book := override.New()
 		c, err := New(Options{Settings: s, Hand: book})
 		require.NoError(t, err)
 		f := &fleet{}
 		c.Connect(f, f)
 		go c.Run(t.Context())
-		c.UpdateMembers(balance.ListCached, regionsOf(workers))
+		c.UpdateMembers(balance.UpdateCached, regionsOf(workers))
 		synctest.Wait()
 		scene(c, f, book)
 	})
@@ -70,7 +70,7 @@
 		require.Zero(t, sentTo(f.started)["a"], "sent to a worker out by hand")
 
 		// The table names it serving again, and whole: the ban holds.
-		c.UpdateMembers(balance.ListFull, regionsOf(2))
+		c.UpdateMembers(balance.UpdateFull, regionsOf(2))
 		for _, attempt := range f.started {
 			c.Ended(attempt, balance.StatusOK, []byte("r"))
 		}
@@ -92,7 +92,7 @@
 		require.NoError(t, err)
 		synctest.Wait()
 		var started time.Duration
-		c.post(func() { started = c.overridden(c.members[1]).Started })
+		c.post(func() { started = c.overridden(c.members[1]).StartedAt })
 		synctest.Wait()
 		require.Equal(t, time.Duration(back.UnixNano()), started, "a worker taken back is cold from then on")
 		submitN(c, f, 200, 40)
@@ -107,9 +107,9 @@
 		require.NoError(t, err)
 		synctest.Wait()
 		gone := regionsOf(1)
-		gone[0].Condition = balance.Gone
-		c.UpdateMembers(balance.ListChange, gone)
-		c.UpdateMembers(balance.ListChange, regionsOf(1))
+		gone[0].State = balance.Gone
+		c.UpdateMembers(balance.UpdateDelta, gone)
+		c.UpdateMembers(balance.UpdateDelta, regionsOf(1))
 		synctest.Wait()
 		submitN(c, f, 0, 20)
 		require.Zero(t, sentTo(f.started)["a"])
@@ -133,7 +133,7 @@
 // Every final answer is counted once, by its class and verdict, also those given before the
 // core has the request; a client that has gone is not counted.
 func TestCounts(t *testing.T) {
-	play(t, 2, func(s *balance.Settings) { s.MaxOpen = 6 }, func(c *Core, f *fleet) {
+	play(t, 2, func(s *balance.Settings) { s.MaxOpenJobs = 6 }, func(c *Core, f *fleet) {
 		submitN(c, f, 0, 8) // two find too many open
 		require.Len(t, f.answers, 2)
 		for i := range 4 { // each end makes room for the next
@@ -141,7 +141,7 @@
 			attempt := f.started[i]
 			status := balance.StatusOK
 			if i == 3 {
-				status = balance.StatusUnfit
+				status = balance.StatusInvalid
 			}
 			attempt.Mark(Written)
 			attempt.Mark(Written) // once an attempt
--- a/dispatch/patience_test.go
+++ b/dispatch/patience_test.go
@@ -16,8 +16,10 @@
 	left []time.Duration
 }
 
-func (p *patiencePolicy) Request(_ time.Duration, j balance.Job) { p.left = append(p.left, j.Patience) }
-func (p *patiencePolicy) Gone(time.Duration, balance.JobID)      {}
+func (p *patiencePolicy) SubmitJob(_ time.Duration, j balance.Job) {
+	p.left = append(p.left, j.ClientTimeout)
+}
+func (p *patiencePolicy) ClientGone(time.Duration, balance.JobID) {}
 
 // A client's patience runs from when its request was submitted, also while the core has no time for
 // it: an attempt would be told more time than is left, and the answer would come too late.
@@ -25,7 +27,7 @@
 	const patience, busy = 5 * time.Second, 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		p := &patiencePolicy{}
-		settings := balance.Settings{Fleet: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "price-read", Deadline: patience, Kind: -1}}}
+		settings := balance.Settings{FleetSize: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "price-read", Deadline: patience, WorkerKind: -1}}}
 		core, err := New(Options{Settings: settings, Policy: func(balance.Settings, balance.Host) (Policy, error) { return p, nil }})
 		require.NoError(t, err)
 		go core.Run(t.Context())
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -22,9 +22,9 @@
 			return
 		}
 	}
-	if int(c.open.Add(1)) > c.settings.MaxOpen && c.settings.MaxOpen > 0 {
+	if int(c.open.Add(1)) > c.settings.MaxOpenJobs && c.settings.MaxOpenJobs > 0 {
 		c.open.Add(-1)
-		c.limitedLog.Report("refused", nil, "too many open", "id", request.ID, "open", c.settings.MaxOpen)
+		c.limitedLog.Report("refused", nil, "too many open", "id", request.ID, "open", c.settings.MaxOpenJobs)
 		c.tell(request, Answer{Verdict: Refused, RetryAfter: min(busyBack, c.settings.MaxRetryAfter),
 			Reason: "too many open requests"})
 		return
@@ -73,11 +73,11 @@
 				c.log.Error("answer overdue", "id", request.ID)
 			}
 			c.answer(request, Answer{Verdict: Failed, Late: true, Reason: "deadline"})
-			c.balancer.Gone(c.now, request.job)
+			c.balancer.ClientGone(c.now, request.job)
 		}
 	})
-	c.balancer.Request(c.now, balance.Job{ID: request.job, Class: request.Class, Tenant: request.Tenant, Key: request.Key,
-		Patience: patience, Hint: request.Hint, Slots: request.Slots, Memory: request.Memory, Earlier: request.Earlier})
+	c.balancer.SubmitJob(c.now, balance.Job{ID: request.job, Class: request.Class, Tenant: request.Tenant, Key: request.Key,
+		ClientTimeout: patience, ExpectedWork: request.Hint, Slots: request.Slots, Memory: request.Memory, PriorAttempt: request.Earlier})
 }
 
 // Drain tells that the process may be ended in so long. What comes once free has passed is
@@ -99,7 +99,7 @@
 		if !request.over {
 			c.close(request)
 			c.observe(func(o Observer) { o.Left(request) })
-			c.balancer.Gone(c.now, request.job)
+			c.balancer.ClientGone(c.now, request.job)
 			c.forget(request)
 		}
 	})
--- a/dispatch/serving.go
+++ b/dispatch/serving.go
@@ -18,7 +18,7 @@
 func (s *ServingSet) Set(members []Worker) {
 	serving := make(map[balance.WorkerID]bool, len(members))
 	for _, m := range members {
-		if m.Condition == balance.Serving {
+		if m.State == balance.Serving {
 			serving[m.ID] = true
 		}
 	}
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -37,7 +37,7 @@
 	if !c.ask(within, func() {
 		h.Listed = len(c.members)
 		for _, w := range c.balancer.View(c.now).Workers {
-			if _, listed := c.members[w.ID]; listed && (!w.Serving || w.Held > 0) {
+			if _, listed := c.members[w.ID]; listed && (!w.Serving || w.HeldFor > 0) {
 				h.Down++
 			}
 		}
--- a/internal/background/keeper.go
+++ b/internal/background/keeper.go
@@ -32,7 +32,7 @@
 // Front submits stored jobs. Its methods are called from the keeper's goroutine.
 type Front interface {
 	// Offer submits a job; the front calls Keeper.Ended once for it.
-	Offer(j *jobstore.Stored, earlier *balance.Earlier)
+	Offer(j *jobstore.Stored, earlier *balance.PriorAttempt)
 	// Withdraw takes an offer back that has not been sent; Ended is not called for it any more.
 	Withdraw(j *jobstore.Stored)
 	// Buried tells that a job has ended among the dead letters: whoever waits is told.
--- a/internal/background/keeper_test.go
+++ b/internal/background/keeper_test.go
@@ -32,14 +32,14 @@
 	defer f.mu.Unlock()
 	g()
 }
-func (f *front) Offer(j *jobstore.Stored, _ *balance.Earlier) {
+func (f *front) Offer(j *jobstore.Stored, _ *balance.PriorAttempt) {
 	f.note(func() { f.offers = append(f.offers, j.Job.ID) })
 }
 func (f *front) Withdraw(j *jobstore.Stored)         { f.note(func() { f.back = append(f.back, j.Job.ID) }) }
 func (f *front) Buried(j *jobstore.Stored, r string) { f.note(func() { f.buried[j.Job.ID] = r }) }
 func (f *front) Missing(handle string)               { f.note(func() { f.missing = append(f.missing, handle) }) }
 func (f *front) Class(string) *balance.Class {
-	return &balance.Class{Name: "f", Effect: balance.Keyed, Group: balance.GroupCell, Span: time.Minute}
+	return &balance.Class{Name: "f", Idempotency: balance.Deduplicated, DedupScope: balance.ScopeCell, DedupWindow: time.Minute}
 }
 func (f *front) offered() int {
 	f.mu.Lock()
--- a/internal/background/loop.go
+++ b/internal/background/loop.go
@@ -106,7 +106,7 @@
 
 // plan is what recovery is told of a job.
 func (k *Keeper) plan(j *jobstore.Stored, c *balance.Class) *recovery.Job {
-	p := &recovery.Job{Effect: c.Effect, Group: c.Group, Span: c.Span, Since: j.Job.Accepted, Offers: j.State.Offers,
+	p := &recovery.Job{Effect: c.Idempotency, Group: c.DedupScope, Span: c.DedupWindow, Since: j.Job.Accepted, Offers: j.State.Offers,
 		Sends: j.State.Sends, Unclear: j.Lost}
 	if j.Job.Timed {
 		p.Since = max(p.Since, j.State.Due)
--- a/internal/background/sending.go
+++ b/internal/background/sending.go
@@ -53,7 +53,7 @@
 	minds := false
 	if f != nil && f.job.State.First != nil {
 		c := k.front.Class(f.job.Job.Function)
-		if minds = c != nil && c.Effect != balance.Safe; minds {
+		if minds = c != nil && c.Idempotency != balance.Idempotent; minds {
 			unnote(f.job.State)
 		}
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -204,10 +204,10 @@
 	} else {
 		p("no operators' door: ops and $LB_OPS are unset")
 	}
-	p("limits: %g cores, %d MB, %d descriptors; %d open requests", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets, c.Settings.MaxOpen)
+	p("limits: %g cores, %d MB, %d descriptors; %d open requests", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets, c.Settings.MaxOpenJobs)
 	p("at most %d attempts at a request, a region is connected to within %v", c.Settings.MaxAttempts, c.Settings.ConnectTimeout)
 	for _, k := range c.Settings.Classes {
-		p("class %s: wanted within %v and %g times its running time, given up after %v, %s", k.Name, k.Aim, k.Stretch, k.Deadline, repeats(k.Effect, k.Group, k.Span))
+		p("class %s: wanted within %v and %g times its running time, given up after %v, %s", k.Name, k.Target, k.Stretch, k.Deadline, repeats(k.Idempotency, k.DedupScope, k.DedupWindow))
 	}
 	for _, t := range c.Settings.Tenants {
 		p("tenant %s: %g requests a second", t.Name, t.Quota)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -8,11 +8,11 @@
 )
 
 // repeats words what a class allows after a routed task that may have run.
-func repeats(e balance.Effect, g balance.Group, span time.Duration) string {
+func repeats(e balance.Idempotency, g balance.DedupScope, span time.Duration) string {
 	switch e {
-	case balance.Safe:
+	case balance.Idempotent:
 		return "safe to repeat"
-	case balance.Unsafe:
+	case balance.NonIdempotent:
 		return "never repeated once it may have run"
 	}
 	return fmt.Sprintf("repeated within %v, %s", span, [...]string{"anywhere", "in the same zone", "in the same cell"}[g])
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -56,7 +56,7 @@
 	deadline := func(name string) (time.Duration, bool, bool) {
 		for _, k := range known {
 			if k.Name == name {
-				return k.Deadline, k.Effect != balance.Safe, true
+				return k.Deadline, k.Idempotency != balance.Idempotent, true
 			}
 		}
 		return 5 * time.Second, false, known == nil
@@ -64,7 +64,7 @@
 	var out []load.Class
 	if w.Mix == "" {
 		for _, k := range known {
-			out = append(out, load.Class{Name: k.Name, Share: 1, Deadline: k.Deadline, Keyed: k.Effect != balance.Safe})
+			out = append(out, load.Class{Name: k.Name, Share: 1, Deadline: k.Deadline, Keyed: k.Idempotency != balance.Idempotent})
 		}
 		if out == nil {
 			return nil, "", errors.New("--mix is wanted where LB_CONFIG names no settings")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -139,16 +139,16 @@
 		}
 		c.Known = known.MarshalTo(nil)
 	}
-	if c.Settings.ConnIdle <= 0 {
-		c.Settings.ConnIdle = defaultConnIdle
+	if c.Settings.ConnIdleTimeout <= 0 {
+		c.Settings.ConnIdleTimeout = defaultConnIdle
 	}
-	if c.Settings.MaxOpen <= 0 {
-		c.Settings.MaxOpen = defaultMaxOpen
+	if c.Settings.MaxOpenJobs <= 0 {
+		c.Settings.MaxOpenJobs = defaultMaxOpen
 	}
 	if c.Settings.ConnectTimeout <= 0 {
 		return nil, errors.New("settings: limits.dial_timeout_s: not above 0")
 	}
 	// The protocol on sockets has neither probes nor messages between dispatchers.
-	c.Settings.Probes, c.Settings.Peers = false, false
+	c.Settings.AllowProbes, c.Settings.AllowPeerMessages = false, false
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,8 +29,8 @@
 	c, err = Parse([]byte(`{"settings":{"limits":{"dial_timeout_s":1}}}`))
 	require.NoError(t, err)
 	require.Equal(t, Limits{Cores: 1, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, c.Limits)
-	require.Equal(t, defaultConnIdle, c.Settings.ConnIdle)
-	require.Equal(t, defaultMaxOpen, c.Settings.MaxOpen)
+	require.Equal(t, defaultConnIdle, c.Settings.ConnIdleTimeout)
+	require.Equal(t, defaultMaxOpen, c.Settings.MaxOpenJobs)
 }
 
 // Whoever reads an error must learn which key to correct.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -184,8 +184,8 @@
 				c.fail("%s.counts: %s counts connections already", key, f.Each)
 			case b.Whole%1000 != 0:
 				c.fail("%s.whole: %v is no whole number", key, in.Whole)
-			case f.Terms.Linger < s.ConnIdle: // a stopped process's idle ones stay until the worker closes them
-				c.fail("linger: %v is under the time after which workers close idle connections, %v", f.Terms.Linger, s.ConnIdle)
+			case f.Terms.Linger < s.ConnIdleTimeout: // a stopped process's idle ones stay until the worker closes them
+				c.fail("linger: %v is under the time after which workers close idle connections, %v", f.Terms.Linger, s.ConnIdleTimeout)
 			}
 			f.Each = name
 		}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -37,10 +37,10 @@
 		_, err = ParseFleet(strings.Replace(each, old, now, 1), "n0", s, names)
 		require.ErrorContains(t, err, "budget.each")
 	}
-	s.ConnIdle = time.Minute
+	s.ConnIdleTimeout = time.Minute
 	_, err = ParseFleet(each, "n0", s, names)
 	require.ErrorContains(t, err, "linger: 25s is under the time after which workers close idle connections, 1m0s")
-	s.ConnIdle = 0
+	s.ConnIdleTimeout = 0
 
 	for _, c := range []struct{ old, text, says string }{
 		{`fleet = "agadir-prix"`, ``, "fleet: missing"},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -106,10 +106,10 @@
 }
 
 var (
-	effects = map[string]balance.Effect{"retryable": balance.Safe, "dedup": balance.Keyed,
-		"fragile": balance.Unsafe}
-	groups = map[string]balance.Group{"": balance.GroupAll, "all": balance.GroupAll,
-		"zone": balance.GroupZone, "cell": balance.GroupCell}
+	effects = map[string]balance.Idempotency{"retryable": balance.Idempotent, "dedup": balance.Deduplicated,
+		"fragile": balance.NonIdempotent}
+	groups = map[string]balance.DedupScope{"": balance.ScopeFleet, "all": balance.ScopeFleet,
+		"zone": balance.ScopeZone, "cell": balance.ScopeCell}
 )
 
 func (f *facts) class(v *fastjson.Value) balance.Class {
@@ -121,10 +121,10 @@
 	if !ok {
 		f.fail("group", "unknown value")
 	}
-	return balance.Class{Name: f.text(v, "name"), Aim: f.seconds(v, "target_s"),
+	return balance.Class{Name: f.text(v, "name"), Target: f.seconds(v, "target_s"),
 		Stretch: f.number(v, 0, "aim_stretch"), Deadline: f.seconds(v, "deadline_s"),
-		Worth: f.number(v, 1, "value"), LateWorth: f.number(v, 0, "late_worth"), Effect: effect,
-		Group: group, Span: f.seconds(v, "memory_span_s"), Stream: f.flag(v, "stream"), Kind: -1}
+		Worth: f.number(v, 1, "value"), LateWorth: f.number(v, 0, "late_worth"), Idempotency: effect,
+		DedupScope: group, DedupWindow: f.seconds(v, "memory_span_s"), Streaming: f.flag(v, "stream"), WorkerKind: -1}
 }
 
 // Names maps configured names to the numbers that balance.Settings uses for them.
@@ -152,26 +152,26 @@
 	if !ok {
 		zone = -1
 	}
-	s.Zone, s.Kinds = zone, len(n.Kind)
+	s.Zone, s.WorkerKinds = zone, len(n.Kind)
 	return s, n, f.err
 }
 
 func (f *facts) settings(v *fastjson.Value) *balance.Settings {
 	s := &balance.Settings{
-		Position: int(f.number(v, 0, "position")), Fleet: int(f.number(v, 1, "fleet_size")),
-		MaxAttempts: int(f.number(v, 1, "limits", "max_attempts")), Cancel: f.flag(v, "limits", "cancel"),
-		SecondCopies: f.flag(v, "limits", "second_copies"), Probes: f.flag(v, "limits", "probing"),
-		Peers:          f.flag(v, "limits", "peers"),
-		ConnectTimeout: f.seconds(v, "limits", "dial_timeout_s"), Tick: f.seconds(v, "tick_s"),
-		AskWithin: f.seconds(v, "rules", "ask_within_s"), AskList: f.text(v, "discovery") == "ask",
-		ColdFrom: f.number(v, 1, "rules", "cold_from"), WarmUp: f.seconds(v, "rules", "warm_up_s"),
-		FallFactor: f.number(v, 1, "rules", "overload_factor"), FallSpan: f.seconds(v, "rules", "fall_s"),
-		TellsStart: f.flag(v, "domain", "tells_start"), Progress: f.seconds(v, "domain", "progress_s"),
-		NoWeights: f.text(v, "weights") == "silent", OverShare: f.number(v, 1, "over_share_worth"),
-		CrossPrice: f.number(v, 0, "prices", "cross_zone"), WorkWorth: f.text(v, "counted_by") == "work",
-		MaxRetryAfter: f.seconds(v, "limits", "max_retry_after_s"), ConnIdle: f.seconds(v, "limits", "conn_idle_s"),
-		MaxOpen:   int(f.number(v, 0, "limits", "max_open")),
-		GoalWhole: f.number(v, 0, "goal", "whole"), GoalWorstClass: f.number(v, 0, "goal", "worst_class"),
+		Position: int(f.number(v, 0, "position")), FleetSize: int(f.number(v, 1, "fleet_size")),
+		MaxAttempts: int(f.number(v, 1, "limits", "max_attempts")), AllowCancel: f.flag(v, "limits", "cancel"),
+		AllowCopies: f.flag(v, "limits", "second_copies"), AllowProbes: f.flag(v, "limits", "probing"),
+		AllowPeerMessages: f.flag(v, "limits", "peers"),
+		ConnectTimeout:    f.seconds(v, "limits", "dial_timeout_s"), Tick: f.seconds(v, "tick_s"),
+		PullInterval: f.seconds(v, "rules", "ask_within_s"), PullMembers: f.text(v, "discovery") == "ask",
+		ColdCapacity: f.number(v, 1, "rules", "cold_from"), WarmUp: f.seconds(v, "rules", "warm_up_s"),
+		OverloadFactor: f.number(v, 1, "rules", "overload_factor"), OverloadWindow: f.seconds(v, "rules", "fall_s"),
+		ReportsStart: f.flag(v, "domain", "tells_start"), ProgressInterval: f.seconds(v, "domain", "progress_s"),
+		IgnoreWeights: f.text(v, "weights") == "silent", OverQuotaWorth: f.number(v, 1, "over_share_worth"),
+		CrossZonePrice: f.number(v, 0, "prices", "cross_zone"), WorthByWork: f.text(v, "counted_by") == "work",
+		MaxRetryAfter: f.seconds(v, "limits", "max_retry_after_s"), ConnIdleTimeout: f.seconds(v, "limits", "conn_idle_s"),
+		MaxOpenJobs: int(f.number(v, 0, "limits", "max_open")),
+		TotalWeight: f.number(v, 0, "goal", "whole"), WorstClassWeight: f.number(v, 0, "goal", "worst_class"),
 	}
 	for i, c := range f.list(v, "classes") {
 		f.element("classes", i, func() { s.Classes = append(s.Classes, f.class(c)) })
@@ -182,9 +182,9 @@
 		})
 	}
 	if domain := v.Get("domain"); domain != nil {
-		f.perClass(domain, "class_kind", s, func(c *balance.Class, x float64) { c.Kind = int(x) })
+		f.perClass(domain, "class_kind", s, func(c *balance.Class, x float64) { c.WorkerKind = int(x) })
 		f.perClass(domain, "class_stretch", s, func(c *balance.Class, x float64) { c.Stretch = x })
-		s.Memory = domain.Exists("memory_unit")
+		s.TracksMemory = domain.Exists("memory_unit")
 	}
 	return s
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -82,8 +82,8 @@
 	p.file = f
 }
 
-// First asks the tenant's budget for one job of so much work, in seconds. It implements balance.Shares.
-func (p *Part) First(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
+// Admit asks the tenant's budget for one job of so much work, in seconds. It implements balance.Shares.
+func (p *Part) Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
 	i, budgeted := p.rates[tenant]
 	if !budgeted {
 		return false, true, 0
@@ -99,8 +99,8 @@
 	return true, ok, wait
 }
 
-// Sent counts a first try. It implements balance.Shares.
-func (p *Part) Sent() {
+// CountFirstSend counts a first try. It implements balance.Shares.
+func (p *Part) CountFirstSend() {
 	if p.again >= 0 {
 		p.mu.Lock()
 		p.ratio.Earn()
@@ -108,9 +108,9 @@
 	}
 }
 
-// Again asks for one repeat or second copy: what first tries here have earned goes before the fleet's
+// AllowRepeat asks for one repeat or second copy: what first tries here have earned goes before the fleet's
 // budget, which others may need. It implements balance.Shares.
-func (p *Part) Again() bool {
+func (p *Part) AllowRepeat() bool {
 	if p.again < 0 {
 		return true
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,7 +28,7 @@
 	p, err := Start(Options{File: f, Name: "a", Log: slog.New(slog.DiscardHandler), Listen: net.Listen})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, p.Close()) })
-	require.Eventually(t, func() bool { _, ok, _ := p.First(0, 1); return ok }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { _, ok, _ := p.Admit(0, 1); return ok }, 20*time.Second, time.Millisecond)
 	return p
 }
 
@@ -36,7 +36,7 @@
 func TestFigures(t *testing.T) {
 	p := alone(t, 1_000_000)
 	for range 10 {
-		p.First(0, 1)
+		p.Admit(0, 1)
 	}
 	var seen map[string]float64
 	require.Eventually(t, func() bool { // the lease is told of a moment after it runs
@@ -57,10 +57,10 @@
 // A repeat that first tries have earned leaves the fleet's budget alone.
 func TestEarnedRepeatsGoFirst(t *testing.T) {
 	p := alone(t, 1_000_000)
-	p.Sent()
-	p.Sent()
-	p.Sent() // two halves are saved up, and no more
-	require.True(t, p.Again())
+	p.CountFirstSend()
+	p.CountFirstSend()
+	p.CountFirstSend() // two halves are saved up, and no more
+	require.True(t, p.AllowRepeat())
 	used := func() float64 {
 		for _, f := range p.Figures() {
 			if f.Name == "tinroute.fleet.used" && f.Budget == "again" {
@@ -70,7 +70,7 @@
 		return -1
 	}
 	require.Zero(t, used())
-	require.Eventually(t, p.Again, 20*time.Second, time.Millisecond)
+	require.Eventually(t, p.AllowRepeat, 20*time.Second, time.Millisecond)
 	require.InDelta(t, 1, used(), 0)
 }
 
@@ -79,6 +79,6 @@
 	p := alone(b, 1<<41)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.First(0, 1)
+		p.Admit(0, 1)
 	}
 }
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -62,8 +62,8 @@
 }
 
 func testServer(t testing.TB) *Server {
-	core, err := dispatch.New(dispatch.Options{Settings: balance.Settings{Fleet: 1, Kinds: 1, MaxAttempts: 1,
-		ConnectTimeout: time.Second, Classes: []balance.Class{{Name: "f", Deadline: time.Second, Kind: -1}}}})
+	core, err := dispatch.New(dispatch.Options{Settings: balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 1,
+		ConnectTimeout: time.Second, Classes: []balance.Class{{Name: "f", Deadline: time.Second, WorkerKind: -1}}}})
 	require.NoError(t, err)
 	file := &config.Gearman{Functions: map[string]config.Function{"f": {Deadline: time.Second}},
 		Limits: jobindex.Limits{PerClient: 4, PerFunction: map[string]int{}}}
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -27,7 +27,7 @@
 }
 
 // Offer submits a stored job.
-func (s *Server) Offer(o *jobstore.Stored, earlier *balance.Earlier) {
+func (s *Server) Offer(o *jobstore.Stored, earlier *balance.PriorAttempt) {
 	s.mu.Lock()
 	if s.draining { // the keeper was about to when the word came
 		s.mu.Unlock()
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -104,7 +104,7 @@
 	case j.unique == "-":
 		sum := blake3.Sum256([]byte(j.data))
 		j.unique = "-" + hex.EncodeToString(sum[:16])
-	case j.unique == "" && c.core.Settings().Classes[f.Class].Effect == balance.Keyed:
+	case j.unique == "" && c.core.Settings().Classes[f.Class].Idempotency == balance.Deduplicated:
 		c.refuse(codeKey, "function "+j.function+" wants a unique id")
 		return nil
 	}
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -28,7 +28,7 @@
 func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.Dial, most int) *Workers {
 	s := core.Settings()
 	return &Workers{core: core, log: log, attempts: map[*dispatch.Attempt]context.CancelFunc{},
-		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdle, most)}
+		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdleTimeout, most)}
 }
 
 // Run keeps the pool tidy until the context ends.
@@ -52,7 +52,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, worker := range r.list {
-		if worker.Condition == balance.Serving {
+		if worker.State == balance.Serving {
 			serving = append(serving, worker)
 		}
 	}
@@ -94,7 +94,7 @@
 	conn, err := r.pool.Get(ctx, t.Worker.Addr)
 	if err != nil {
 		if ctx.Err() != nil { // given up before anything was sent
-			return balance.StatusMoot, nil
+			return balance.StatusNotSent, nil
 		}
 		r.logAttempt(t, "worker unreachable", err)
 		return balance.StatusUnreachable, nil
@@ -109,14 +109,14 @@
 	}()
 	if ctx.Err() != nil || !r.serving.Accepts(t.Worker.ID) { // given up, or drained since it was chosen
 		keep = true
-		return balance.StatusMoot, nil
+		return balance.StatusNotSent, nil
 	}
 	if err := j.sending(ctx, t); err != nil { // a stored job that is sent unwritten could be sent twice after a crash
 		keep = true
 		if ctx.Err() == nil {
 			r.logAttempt(t, "not sent", err)
 		}
-		return balance.StatusMoot, nil
+		return balance.StatusNotSent, nil
 	}
 	t.Mark(dispatch.Connected)
 	data := Request(SubmitJob, j.function, j.unique, j.data)
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -97,17 +97,17 @@
 		byID: map[balance.WorkerID]*worker{}, jobs: map[balance.JobID]*job{}, armed: noTimerAt}, nil
 }
 
-// Members takes the list's word on workers, as the balancer does.
-func (p *Policy) Members(now time.Duration, how balance.ListKind, list []balance.Member) {
+// UpdateMembers takes the list's word on workers, as the balancer does.
+func (p *Policy) UpdateMembers(now time.Duration, how balance.UpdateKind, list []balance.Member) {
 	p.now = now
-	if how == balance.ListFailed { // the old list stays; ask again in a while
+	if how == balance.UpdateFailed { // the old list stays; ask again in a while
 		p.askAt = now + askAgain + time.Duration(p.rng.Int64N(int64(askAgain)))
 		p.arm()
 		return
 	}
-	if how != balance.ListChange {
+	if how != balance.UpdateDelta {
 		for _, w := range p.workers {
-			w.Condition = balance.Gone
+			w.State = balance.Gone
 		}
 	}
 	for _, m := range list {
@@ -119,27 +119,27 @@
 		}
 		w.Member = m
 	}
-	if how == balance.ListCached && p.s.AskList {
+	if how == balance.UpdateCached && p.s.PullMembers {
 		p.host.Watch()
 	}
 	p.askAt = 0
 	p.arm()
 }
 
-// Request takes a new job and sends it.
-func (p *Policy) Request(now time.Duration, r balance.Job) {
+// SubmitJob takes a new job and sends it.
+func (p *Policy) SubmitJob(now time.Duration, r balance.Job) {
 	p.now = now
 	if r.Class < 0 || r.Class >= len(p.s.Classes) || p.jobs[r.ID] != nil {
 		return
 	}
-	j := &job{Job: r, end: now + r.Patience}
+	j := &job{Job: r, end: now + r.ClientTimeout}
 	p.jobs[r.ID] = j
 	p.send(j)
 	p.arm()
 }
 
-// Timer answers what would otherwise outlast its client, and asks for the list where that is due.
-func (p *Policy) Timer(now time.Duration, token uint64) {
+// TimerFired answers what would otherwise outlast its client, and asks for the list where that is due.
+func (p *Policy) TimerFired(now time.Duration, token uint64) {
 	p.now = now
 	if token != p.token {
 		return
@@ -157,8 +157,8 @@
 	p.arm()
 }
 
-// Gone takes word that a job's client has left.
-func (p *Policy) Gone(now time.Duration, id balance.JobID) {
+// ClientGone takes word that a job's client has left.
+func (p *Policy) ClientGone(now time.Duration, id balance.JobID) {
 	p.now = now
 	if j := p.jobs[id]; j != nil {
 		p.finish(j)
@@ -166,16 +166,16 @@
 	p.arm()
 }
 
-// Note takes a worker's word on a job; these policies do not look at it.
-func (p *Policy) Note(time.Duration, balance.JobID, int, balance.NoteKind, float64) {}
+// AttemptEvent takes a worker's word on a job; these policies do not look at it.
+func (p *Policy) AttemptEvent(time.Duration, balance.JobID, int, balance.EventKind, float64) {}
 
-// Probed takes the answer to a probe; these policies send none.
-func (p *Policy) Probed(time.Duration, balance.WorkerID, balance.Status, time.Duration, balance.Report) {
+// ProbeDone takes the answer to a probe; these policies send none.
+func (p *Policy) ProbeDone(time.Duration, balance.WorkerID, balance.Status, time.Duration, balance.LoadReport) {
 }
 
-// Outcome takes the end of an attempt: a served job is over, a failed one is tried again where its
+// AttemptDone takes the end of an attempt: a served job is over, a failed one is tried again where its
 // class and the attempts left allow, else answered.
-func (p *Policy) Outcome(now time.Duration, r balance.Result) {
+func (p *Policy) AttemptDone(now time.Duration, r balance.AttemptResult) {
 	p.now = now
 	j := p.jobs[r.Job]
 	if j == nil || r.Attempt < 0 || r.Attempt >= len(j.attempts) || j.attempts[r.Attempt].done {
@@ -186,7 +186,7 @@
 	j.out--
 	a.w.out--
 	switch {
-	case r.Closed || r.Status == balance.StatusOK:
+	case r.JobDone || r.Status == balance.StatusOK:
 		p.finish(j)
 	case j.out == 0:
 		p.send(j)
@@ -198,9 +198,9 @@
 func (p *Policy) View(time.Duration) balance.View {
 	v := balance.View{Running: len(p.jobs)}
 	for _, w := range p.workers {
-		if w.Condition != balance.Gone {
+		if w.State != balance.Gone {
 			v.Workers = append(v.Workers, balance.WorkerView{ID: w.ID, Slots: 1, Used: float64(w.out),
-				Slowness: 1, Serving: w.Condition == balance.Serving})
+				Slowness: 1, Serving: w.State == balance.Serving})
 		}
 	}
 	return v
@@ -231,7 +231,7 @@
 		if !a.unreached {
 			tried++
 		}
-		if a.ran && p.s.Classes[j.Class].Effect != balance.Safe {
+		if a.ran && p.s.Classes[j.Class].Idempotency != balance.Idempotent {
 			return false
 		}
 	}
@@ -243,8 +243,8 @@
 func (p *Policy) pick(j *job) *worker {
 	var fresh, all []*worker
 	for _, w := range p.workers {
-		if w.Condition != balance.Serving || j.Class < len(p.s.Classes) && p.s.Classes[j.Class].Kind >= 0 &&
-			p.s.Classes[j.Class].Kind != w.Kind {
+		if w.State != balance.Serving || j.Class < len(p.s.Classes) && p.s.Classes[j.Class].WorkerKind >= 0 &&
+			p.s.Classes[j.Class].WorkerKind != w.Kind {
 			continue
 		}
 		all = append(all, w)
@@ -297,7 +297,7 @@
 // answer gives a job that is not served its final answer: a refusal where a repeat is harmless,
 // else a failure.
 func (p *Policy) answer(j *job) {
-	harmless := p.s.Classes[j.Class].Effect == balance.Safe
+	harmless := p.s.Classes[j.Class].Idempotency == balance.Idempotent
 	if !harmless {
 		harmless = true
 		for _, a := range j.attempts {
@@ -321,7 +321,7 @@
 		if !a.done {
 			a.done = true
 			a.w.out--
-			if p.s.Cancel {
+			if p.s.AllowCancel {
 				p.host.Cancel(j.ID, no)
 			}
 		}
@@ -351,6 +351,6 @@
 	if at < p.armed && at < noTimerAt {
 		p.armed = at
 		p.token++
-		p.host.Wake(max(at-p.now, p.s.Tick), p.token)
+		p.host.SetTimer(max(at-p.now, p.s.Tick), p.token)
 	}
 }
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -45,7 +45,7 @@
 
 // A name that is no policy, or the bound without the truth, is an error that says so.
 func TestUnknownPolicy(t *testing.T) {
-	s := balance.Settings{Fleet: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "c", Deadline: time.Second}}}
+	s := balance.Settings{FleetSize: 1, MaxAttempts: 3, Classes: []balance.Class{{Name: "c", Deadline: time.Second}}}
 	_, err := compare.New("fastest", s, nil, nil)
 	require.ErrorContains(t, err, "shortest-queue")
 	_, err = compare.New(compare.ShortestQueue, s, nil, nil)
@@ -67,16 +67,16 @@
 func (h *host) Cancel(balance.JobID, int)           { h.cancels++ }
 func (h *host) Refuse(balance.JobID, time.Duration) { h.refused++ }
 func (h *host) Fail(balance.JobID)                  { h.failed++ }
-func (h *host) Wake(d time.Duration, t uint64)      { h.wake, h.token = d, t }
+func (h *host) SetTimer(d time.Duration, t uint64)  { h.wake, h.token = d, t }
 func (h *host) Watch()                              { h.watches++ }
 func (h *host) Fetch()                              {}
-func (h *host) Tell(int, []byte)                    {}
+func (h *host) SendToPeer(int, []byte)              {}
 func (h *host) Probe(balance.WorkerID)              {}
 func (h *host) Log(string)                          {}
 
-func settings(effect balance.Effect) balance.Settings {
-	return balance.Settings{Fleet: 1, MaxAttempts: 3, Cancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second,
-		Classes: []balance.Class{{Name: "c", Deadline: time.Second, Effect: effect, Kind: -1}}}
+func settings(effect balance.Idempotency) balance.Settings {
+	return balance.Settings{FleetSize: 1, MaxAttempts: 3, AllowCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+		Classes: []balance.Class{{Name: "c", Deadline: time.Second, Idempotency: effect, WorkerKind: -1}}}
 }
 
 func members(n int) []balance.Member {
@@ -92,21 +92,21 @@
 func TestTheRulesOneByOne(t *testing.T) {
 	for _, name := range []string{compare.Random, compare.RoundRobin, compare.LeastOutstanding, compare.TwoChoices} {
 		h := &host{}
-		p, err := compare.New(name, settings(balance.Keyed), h, nil)
+		p, err := compare.New(name, settings(balance.Deduplicated), h, nil)
 		require.NoError(t, err)
 		list := members(3)
-		list[1].Condition, list[2].Condition = balance.Draining, balance.Gone
-		p.Members(0, balance.ListFull, list)
+		list[1].State, list[2].State = balance.Draining, balance.Gone
+		p.UpdateMembers(0, balance.UpdateFull, list)
 		for i := range 20 {
-			p.Request(time.Duration(i)*time.Millisecond, balance.Job{ID: balance.JobID(i + 1), Class: 0, Patience: time.Second})
+			p.SubmitJob(time.Duration(i)*time.Millisecond, balance.Job{ID: balance.JobID(i + 1), Class: 0, ClientTimeout: time.Second})
 		}
 		for _, w := range h.sends {
 			require.Equal(t, balance.WorkerID(1), w, "%s sent to a worker that is not serving", name)
 		}
-		p.Outcome(30*time.Millisecond, balance.Result{Job: 1, Attempt: 0, Worker: 1, Status: balance.StatusError})
+		p.AttemptDone(30*time.Millisecond, balance.AttemptResult{Job: 1, Attempt: 0, Worker: 1, Status: balance.StatusError})
 		require.Len(t, h.sends, 20, "%s repeated a keyed job that may have run", name)
 		require.Equal(t, 1, h.failed, name)
-		p.Timer(time.Second+20*time.Millisecond, h.token) // the others' patience is over
+		p.TimerFired(time.Second+20*time.Millisecond, h.token) // the others' patience is over
 		require.Equal(t, 19, h.refused+h.failed-1, "%s: every job answered before patience ends", name)
 	}
 }
@@ -115,12 +115,12 @@
 // attempts allowed that arrived.
 func TestUnreachedTriesGoOn(t *testing.T) {
 	h := &host{}
-	p, err := compare.New(compare.RoundRobin, settings(balance.Safe), h, nil)
+	p, err := compare.New(compare.RoundRobin, settings(balance.Idempotent), h, nil)
 	require.NoError(t, err)
-	p.Members(0, balance.ListFull, members(5))
-	p.Request(0, balance.Job{ID: 1, Class: 0, Patience: time.Second})
+	p.UpdateMembers(0, balance.UpdateFull, members(5))
+	p.SubmitJob(0, balance.Job{ID: 1, Class: 0, ClientTimeout: time.Second})
 	for i := range 4 {
-		p.Outcome(time.Millisecond, balance.Result{Job: 1, Attempt: i, Worker: h.sends[i], Status: balance.StatusUnreachable})
+		p.AttemptDone(time.Millisecond, balance.AttemptResult{Job: 1, Attempt: i, Worker: h.sends[i], Status: balance.StatusUnreachable})
 	}
 	require.Len(t, h.sends, 5)
 	require.Zero(t, h.refused+h.failed)
--- a/internal/lab/emulate/dispatcher.go
+++ b/internal/lab/emulate/dispatcher.go
@@ -103,20 +103,20 @@
 		if d.w.out {
 			d.core.UpdateFailed()
 		} else {
-			d.list(balance.ListFull)
+			d.list(balance.UpdateFull)
 		}
 		d.settle()
 	})
 }
 
-func (d *dispatcher) list(how balance.ListKind) {
+func (d *dispatcher) list(how balance.UpdateKind) {
 	list := make([]dispatch.Worker, 0, len(d.w.nodes))
 	for _, n := range d.w.nodes {
 		if d.known[n.id] = n; n.state == balance.Gone {
 			continue
 		}
-		list = append(list, dispatch.Worker{Name: n.Name, Addr: n.Name, Member: balance.Member{ID: n.id, Condition: n.state, Weight: float64(n.Cores), Kind: n.Kind, Zone: n.Zone,
-			Cell: n.Cell, Started: n.started}})
+		list = append(list, dispatch.Worker{Name: n.Name, Addr: n.Name, Member: balance.Member{ID: n.id, State: n.state, Weight: float64(n.Cores), Kind: n.Kind, Zone: n.Zone,
+			Cell: n.Cell, StartedAt: n.started}})
 	}
 	d.w.rules.told(d, list) // first: the core acts on it at once
 	d.core.UpdateMembers(how, list)
--- a/internal/lab/emulate/emulate_test.go
+++ b/internal/lab/emulate/emulate_test.go
@@ -117,7 +117,7 @@
 			w.rules.sent(d, w.nodes[0], job(d, r))
 		},
 		"told to drain": func(w *World, d *dispatcher, r *request) {
-			w.rules.told(d, []dispatch.Worker{{Member: balance.Member{ID: w.nodes[0].id, Condition: balance.Draining}}})
+			w.rules.told(d, []dispatch.Worker{{Member: balance.Member{ID: w.nodes[0].id, State: balance.Draining}}})
 			w.now += 2 * time.Second
 			w.rules.sent(d, w.nodes[0], job(d, r))
 		},
@@ -149,14 +149,14 @@
 		"was pushed over": func(w *World, d *dispatcher, r *request) {
 			n := w.nodes[0]
 			n.started = w.now
-			w.rules.told(d, []dispatch.Worker{{Member: balance.Member{ID: n.id, Started: n.started}}})
+			w.rules.told(d, []dispatch.Worker{{Member: balance.Member{ID: n.id, StartedAt: n.started}}})
 			for range 40 {
 				n.take(&work{task: &dispatch.Attempt{Request: r.tx}, core: d, job: r, whole: 0.5, left: 0.5})
 			}
 			require.True(t, n.fallen)
 		},
 		"may have run and was sent again": func(w *World, d *dispatcher, r *request) {
-			w.s.Classes[1].Effect = balance.Unsafe
+			w.s.Classes[1].Idempotency = balance.NonIdempotent
 			w.rules.sent(d, w.nodes[0], job(d, r))
 			w.rules.sent(d, w.nodes[0], job(d, r))
 		},
--- a/internal/lab/emulate/failures.go
+++ b/internal/lab/emulate/failures.go
@@ -15,7 +15,7 @@
 			return
 		}
 		for _, d := range w.cores {
-			d.list(balance.ListFull)
+			d.list(balance.UpdateFull)
 		}
 	})
 }
--- a/internal/lab/emulate/model.go
+++ b/internal/lab/emulate/model.go
@@ -165,7 +165,7 @@
 	w       *World
 	id      balance.WorkerID
 	started time.Duration // 0 for long ago
-	state   balance.Condition
+	state   balance.WorkerState
 	slow    float64
 	silent  bool
 	hang    bool
--- a/internal/lab/emulate/play.go
+++ b/internal/lab/emulate/play.go
@@ -42,15 +42,15 @@
 
 // settings are what a dispatcher of the scenario is told.
 func (s *Scenario) settings(n int) balance.Settings {
-	b := balance.Settings{Seed: s.Seed + uint64(n), Position: n, Fleet: s.Dispatchers, MaxAttempts: 3, Cancel: true, SecondCopies: true, AskList: true,
-		ConnectTimeout: 250 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, AskWithin: 10 * time.Second, TellsStart: true,
-		ColdFrom: max(0.01, s.ColdFrom), WarmUp: s.WarmUp, FallFactor: 2.5, FallSpan: time.Second, GoalWhole: 1}
+	b := balance.Settings{Seed: s.Seed + uint64(n), Position: n, FleetSize: s.Dispatchers, MaxAttempts: 3, AllowCancel: true, AllowCopies: true, PullMembers: true,
+		ConnectTimeout: 250 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, PullInterval: 10 * time.Second, ReportsStart: true,
+		ColdCapacity: max(0.01, s.ColdFrom), WarmUp: s.WarmUp, OverloadFactor: 2.5, OverloadWindow: time.Second, TotalWeight: 1}
 	for _, c := range s.Classes {
-		c.Class.Kind = -1
+		c.Class.WorkerKind = -1
 		b.Classes = append(b.Classes, c.Class)
 	}
 	for _, x := range s.Nodes {
-		b.Kinds = max(b.Kinds, x.Kind+1)
+		b.WorkerKinds = max(b.WorkerKinds, x.Kind+1)
 	}
 	return b
 }
@@ -83,7 +83,7 @@
 		}
 		d.core.Connect(d, d)
 		w.cores = append(w.cores, d)
-		d.list(balance.ListFull)
+		d.list(balance.UpdateFull)
 	}
 	return w, nil
 }
@@ -216,11 +216,11 @@
 	switch {
 	case a.Verdict == dispatch.Served:
 		w.res.Took[c.Name] = append(w.res.Took[c.Name], took)
-		if took <= c.Aim+time.Duration(c.Stretch*r.work*1e9) {
+		if took <= c.Target+time.Duration(c.Stretch*r.work*1e9) {
 			w.res.InTime++
 			w.rules.inTime[r.class]++
 		}
-	case (a.Verdict == dispatch.Refused || c.Effect == balance.Safe) && r.try < c.Tries && took < c.Deadline: // a client that may ask again does
+	case (a.Verdict == dispatch.Refused || c.Idempotency == balance.Idempotent) && r.try < c.Tries && took < c.Deadline: // a client that may ask again does
 		next := &request{class: r.class, work: r.work, key: r.key, asked: r.asked, try: r.try + 1}
 		w.open++ // from now on, or the play could end before it asks again
 		w.after(max(a.RetryAfter, 50*time.Millisecond), func() { w.submit(next) })
--- a/internal/lab/emulate/rules.go
+++ b/internal/lab/emulate/rules.go
@@ -58,8 +58,8 @@
 	}
 	for _, n := range list {
 		key := [2]uint64{uint64(d.n), uint64(n.ID)}
-		r.starts[key] = n.Started
-		if _, known := r.drains[key]; n.Condition == balance.Serving {
+		r.starts[key] = n.StartedAt
+		if _, known := r.drains[key]; n.State == balance.Serving {
 			delete(r.drains, key)
 		} else if !known {
 			r.drains[key] = r.w.now
@@ -74,12 +74,12 @@
 	}
 	for _, s := range r.sends[id] {
 		switch {
-		case s.never || c.Effect == balance.Safe:
-		case c.Effect == balance.Unsafe:
+		case s.never || c.Idempotency == balance.Idempotent:
+		case c.Idempotency == balance.NonIdempotent:
 			r.broke("%s may have run and was sent again", id)
-		case r.w.now > s.at+c.Span:
+		case r.w.now > s.at+c.DedupWindow:
 			r.broke("%s was sent again after its span", id)
-		case c.Group == balance.GroupZone && s.node.Zone != n.Zone, c.Group == balance.GroupCell && s.node.Cell != n.Cell:
+		case c.DedupScope == balance.ScopeZone && s.node.Zone != n.Zone, c.DedupScope == balance.ScopeCell && s.node.Cell != n.Cell:
 			r.broke("%s was sent to another group", id)
 		}
 	}
@@ -118,7 +118,7 @@
 	served := false
 	for _, s := range r.sends[q.tx.ID] {
 		served = served || s.ran
-		if a.Verdict == dispatch.Refused && s.ran && c.Effect != balance.Safe && c.Group != balance.GroupAll {
+		if a.Verdict == dispatch.Refused && s.ran && c.Idempotency != balance.Idempotent && c.DedupScope != balance.ScopeFleet {
 			r.broke("%s was refused and had run", q.tx.ID)
 		}
 	}
--- a/internal/lab/emulate/shop.go
+++ b/internal/lab/emulate/shop.go
@@ -12,12 +12,12 @@
 func Shop(nodes, dispatchers int, load float64) Scenario {
 	s := Scenario{Dispatchers: dispatchers, Length: time.Minute, Network: 3 * time.Millisecond, Discovery: 2 * time.Second, WarmUp: 8 * time.Second, ColdFrom: 0.4,
 		Classes: []ClassSpec{
-			{Class: balance.Class{Name: "price-read", Aim: 200 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.3, Effect: balance.Safe},
+			{Class: balance.Class{Name: "price-read", Target: 200 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.3, Idempotency: balance.Idempotent},
 				Share: 0.7, Mean: 400 * time.Millisecond, Sigma: 0.5, Tries: 3},
-			{Class: balance.Class{Name: "price-fix", Aim: 200 * time.Millisecond, Stretch: 1.75, Deadline: 5 * time.Second, Worth: 2, LateWorth: 0.3, Effect: balance.Keyed,
-				Group: balance.GroupCell, Span: 7500 * time.Millisecond}, Share: 0.17, Mean: 200 * time.Millisecond, Sigma: 0.4, Tries: 3},
-			{Class: balance.Class{Name: "nav-run", Aim: 750 * time.Millisecond, Stretch: 1.75, Deadline: 25 * time.Second, Worth: 2, LateWorth: 0.4, Effect: balance.Keyed,
-				Group: balance.GroupZone, Span: 40 * time.Second}, Share: 0.13, Mean: 2500 * time.Millisecond, Sigma: 0.4, Tries: 2}}}
+			{Class: balance.Class{Name: "price-fix", Target: 200 * time.Millisecond, Stretch: 1.75, Deadline: 5 * time.Second, Worth: 2, LateWorth: 0.3, Idempotency: balance.Deduplicated,
+				DedupScope: balance.ScopeCell, DedupWindow: 7500 * time.Millisecond}, Share: 0.17, Mean: 200 * time.Millisecond, Sigma: 0.4, Tries: 3},
+			{Class: balance.Class{Name: "nav-run", Target: 750 * time.Millisecond, Stretch: 1.75, Deadline: 25 * time.Second, Worth: 2, LateWorth: 0.4, Idempotency: balance.Deduplicated,
+				DedupScope: balance.ScopeZone, DedupWindow: 40 * time.Second}, Share: 0.13, Mean: 2500 * time.Millisecond, Sigma: 0.4, Tries: 2}}}
 	capacity := 0.0
 	for i := range nodes {
 		n := NodeSpec{Name: fmt.Sprintf("s-%08x", i+1), Zone: i % 3, Cell: i / 2, Kind: i % 3, Queue: 4}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -27,19 +27,19 @@
 type manualPolicy struct {
 	balance.Host
 	mu       sync.Mutex
-	outcomes []balance.Result
+	outcomes []balance.AttemptResult
 }
 
-func (p *manualPolicy) Members(time.Duration, balance.ListKind, []balance.Member) {}
-func (p *manualPolicy) Request(time.Duration, balance.Job)                        {}
-func (p *manualPolicy) Timer(time.Duration, uint64)                               {}
-func (p *manualPolicy) Gone(time.Duration, balance.JobID)                         {}
-func (p *manualPolicy) Note(time.Duration, balance.JobID, int, balance.NoteKind, float64) {
+func (p *manualPolicy) UpdateMembers(time.Duration, balance.UpdateKind, []balance.Member) {}
+func (p *manualPolicy) SubmitJob(time.Duration, balance.Job)                              {}
+func (p *manualPolicy) TimerFired(time.Duration, uint64)                                  {}
+func (p *manualPolicy) ClientGone(time.Duration, balance.JobID)                           {}
+func (p *manualPolicy) AttemptEvent(time.Duration, balance.JobID, int, balance.EventKind, float64) {
 }
-func (p *manualPolicy) Probed(time.Duration, balance.WorkerID, balance.Status, time.Duration, balance.Report) {
+func (p *manualPolicy) ProbeDone(time.Duration, balance.WorkerID, balance.Status, time.Duration, balance.LoadReport) {
 }
 func (p *manualPolicy) View(time.Duration) balance.View { return balance.View{} }
-func (p *manualPolicy) Outcome(_ time.Duration, r balance.Result) {
+func (p *manualPolicy) AttemptDone(_ time.Duration, r balance.AttemptResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, r)
@@ -77,8 +77,8 @@
 
 func newStage(t *testing.T, w *worker) *stage {
 	s := &stage{t: t, policy: &manualPolicy{}, worker: w}
-	settings := balance.Settings{Fleet: 1, Kinds: 1, MaxAttempts: 9, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second,
-		Classes: []balance.Class{{Name: "price-read", Deadline: time.Minute, Worth: 1, Kind: -1}}}
+	settings := balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 9, ConnectTimeout: 250 * time.Millisecond, ConnIdleTimeout: 15 * time.Second,
+		Classes: []balance.Class{{Name: "price-read", Deadline: time.Minute, Worth: 1, WorkerKind: -1}}}
 	core, err := dispatch.New(dispatch.Options{Settings: settings, Policy: func(_ balance.Settings, h balance.Host) (dispatch.Policy, error) {
 		s.policy.Host = h
 		return s.policy, nil
@@ -94,9 +94,9 @@
 	return s
 }
 
-func (s *stage) list(c balance.Condition) {
-	s.core.UpdateMembers(balance.ListFull, []dispatch.Worker{{Name: "s-1", Addr: "worker",
-		Member: balance.Member{ID: workerID, Condition: c, Weight: 1}}})
+func (s *stage) list(c balance.WorkerState) {
+	s.core.UpdateMembers(balance.UpdateFull, []dispatch.Worker{{Name: "s-1", Addr: "worker",
+		Member: balance.Member{ID: workerID, State: c, Weight: 1}}})
 }
 
 // do has the policy act, on the core's own goroutine.
@@ -226,7 +226,7 @@
 		time.Sleep(cancelsSettle)
 		s.send()
 		require.Equal(t, []string{"POST r1", "DELETE r1"}, w.calls(), "the first may still run there")
-		require.Contains(t, s.policy.statuses(), balance.StatusMoot)
+		require.Contains(t, s.policy.statuses(), balance.StatusNotSent)
 	})
 	w.got, deleted = nil, true
 	onStage(t, w, func(t *testing.T, s *stage) {
@@ -310,7 +310,7 @@
 
 // A drain that is told while an attempt waits for its connection: not one byte of it is written.
 func TestADrainDuringADialKeepsTheAttemptBack(t *testing.T) {
-	for _, told := range []balance.Condition{balance.Draining, balance.Gone} {
+	for _, told := range []balance.WorkerState{balance.Draining, balance.Gone} {
 		w := &worker{script: func(string) string { return "202 Accepted" }, onDial: func(int) error { time.Sleep(200 * time.Millisecond); return nil }}
 		onStage(t, w, func(t *testing.T, s *stage) {
 			s.send()
@@ -319,7 +319,7 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			require.Empty(t, w.calls())
-			require.Equal(t, []balance.Status{balance.StatusMoot}, s.policy.statuses(), "it never ran")
+			require.Equal(t, []balance.Status{balance.StatusNotSent}, s.policy.statuses(), "it never ran")
 		})
 	}
 }
@@ -334,7 +334,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.Empty(t, w.calls())
-		require.Equal(t, []balance.Status{balance.StatusMoot}, s.policy.statuses())
+		require.Equal(t, []balance.Status{balance.StatusNotSent}, s.policy.statuses())
 	})
 }
 
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -27,10 +27,10 @@
 	gone  chan balance.JobID
 }
 
-func (p *askingPolicy) Request(_ time.Duration, j balance.Job)                    { p.asked <- j.ID }
-func (p *askingPolicy) Gone(_ time.Duration, id balance.JobID)                    { p.gone <- id }
-func (p *askingPolicy) Outcome(_ time.Duration, _ balance.Result)                 {}
-func (p *askingPolicy) Members(time.Duration, balance.ListKind, []balance.Member) {}
+func (p *askingPolicy) SubmitJob(_ time.Duration, j balance.Job)                          { p.asked <- j.ID }
+func (p *askingPolicy) ClientGone(_ time.Duration, id balance.JobID)                      { p.gone <- id }
+func (p *askingPolicy) AttemptDone(_ time.Duration, _ balance.AttemptResult)              {}
+func (p *askingPolicy) UpdateMembers(time.Duration, balance.UpdateKind, []balance.Member) {}
 
 // front is a real server on the loopback address whose policy is the test.
 type front struct {
@@ -43,8 +43,8 @@
 
 func newFront(t *testing.T) *front {
 	p := &askingPolicy{asked: make(chan balance.JobID, 64), gone: make(chan balance.JobID, 64)}
-	settings := balance.Settings{Fleet: 1, Kinds: 1, MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond, ConnIdle: 15 * time.Second,
-		Classes: []balance.Class{{Name: "price-read", Deadline: time.Minute, Worth: 1, Kind: -1}}}
+	settings := balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond, ConnIdleTimeout: 15 * time.Second,
+		Classes: []balance.Class{{Name: "price-read", Deadline: time.Minute, Worth: 1, WorkerKind: -1}}}
 	core, err := dispatch.New(dispatch.Options{Settings: settings, Policy: func(_ balance.Settings, h balance.Host) (dispatch.Policy, error) {
 		p.Host = h
 		return p, nil
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -72,10 +72,10 @@
 // NewDiscovery returns a table that asks at the address once it runs.
 func NewDiscovery(core *dispatch.Core, log *slog.Logger, names *config.Names, dial link.Dial, addr string) *Discovery {
 	short := watchShort
-	if within := core.Settings().AskWithin; within > 0 { // past it the rules take a change for told
+	if within := core.Settings().PullInterval; within > 0 { // past it the rules take a change for told
 		short = min(short, within*2/5)
 	}
-	long := min(watchLong, max(short, time.Duration(core.Settings().Fleet)*watchEach))
+	long := min(watchLong, max(short, time.Duration(core.Settings().FleetSize)*watchEach))
 	return &Discovery{core: core, log: log, names: names, dial: dial, short: short, long: long, addr: addr, next: addr, ask: make(chan bool, 2)}
 }
 
@@ -133,7 +133,7 @@
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	t.core.UpdateMembers(balance.ListCached, list)
+	t.core.UpdateMembers(balance.UpdateCached, list)
 	return nil
 }
 
@@ -233,9 +233,9 @@
 		return err
 	}
 	t.backoff = max(0, t.backoff-1)
-	how := balance.ListChange
+	how := balance.UpdateDelta
 	if full {
-		how = balance.ListFull
+		how = balance.UpdateFull
 	}
 	if full || len(list) > 0 || wait == 0 {
 		t.log.Info("discovery", "version", t.version, "full", full, "entries", len(list))
@@ -313,7 +313,7 @@
 	}
 }
 
-var conditions = map[string]balance.Condition{"SERVING": balance.Serving, "DRAINING": balance.Draining,
+var conditions = map[string]balance.WorkerState{"SERVING": balance.Serving, "DRAINING": balance.Draining,
 	"DELETED": balance.Gone}
 
 // read reads a list in discovery's form and notes its version.
@@ -337,9 +337,9 @@
 			return false, nil, fmt.Errorf("servers: id %.40q, state %.40q", name, state)
 		}
 		list = append(list, dispatch.Worker{Name: name, Addr: string(e.GetStringBytes("addr")), Member: balance.Member{
-			ID: dispatch.WorkerIDOf(name), Condition: condition, Weight: e.GetFloat64("weight"),
+			ID: dispatch.WorkerIDOf(name), State: condition, Weight: e.GetFloat64("weight"),
 			Kind: named(t.names.Kind, e.GetStringBytes("kind")), Zone: named(t.names.Zone, e.GetStringBytes("zone")),
-			Cell: e.GetInt("cell"), Started: time.Duration(e.GetFloat64("started_ms") * 1e6)}})
+			Cell: e.GetInt("cell"), StartedAt: time.Duration(e.GetFloat64("started_ms") * 1e6)}})
 	}
 	t.version, t.held = v.GetInt64("version"), true
 	return v.GetBool("full"), list, nil
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -122,9 +122,9 @@
 // playWith does the same, and something to the table beside it.
 func playWith(t *testing.T, d *discovery, length time.Duration, beside func(*Discovery)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := balance.Settings{Fleet: max(1, d.fleet), Kinds: 1, MaxAttempts: 3, AskList: true, ConnectTimeout: 250 * time.Millisecond,
-			Tick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
-			Classes: []balance.Class{{Name: "price-read", Deadline: 5 * time.Second, Worth: 1, Kind: -1}}}
+		s := balance.Settings{FleetSize: max(1, d.fleet), WorkerKinds: 1, MaxAttempts: 3, PullMembers: true, ConnectTimeout: 250 * time.Millisecond,
+			Tick: 5 * time.Millisecond, PullInterval: 10 * time.Second,
+			Classes: []balance.Class{{Name: "price-read", Deadline: 5 * time.Second, Worth: 1, WorkerKind: -1}}}
 		core, err := dispatch.New(dispatch.Options{Settings: s})
 		require.NoError(t, err)
 		table := NewDiscovery(core, slog.New(slog.DiscardHandler), &config.Names{}, d.dial, "discovery")
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("class: unknown: %.40q", first)
 	}
 	c := &s.Classes[class]
-	if c.Effect == balance.Keyed && h.Get(headerOnceKey) == "" {
+	if c.Idempotency == balance.Deduplicated && h.Get(headerOnceKey) == "" {
 		return nil, fmt.Errorf("%s: missing for class %s", headerOnceKey, c.Name)
 	}
 	request := &dispatch.Request{ID: id, Class: class, Tenant: -1, Patience: c.Deadline, Slots: 1,
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -58,7 +58,7 @@
 func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.Dial, most int) *Workers {
 	s := core.Settings()
 	return &Workers{core: core, log: log, calls: map[callKey]*call{}, attempts: map[*dispatch.Attempt]*call{},
-		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdle, most)}
+		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdleTimeout, most)}
 }
 
 // Run keeps the pool tidy until the context ends.
@@ -91,7 +91,7 @@
 	}
 	if !r.begin(c) {
 		r.pool.Put(conn)
-		r.end(c, balance.StatusMoot, nil)
+		r.end(c, balance.StatusNotSent, nil)
 		return
 	}
 	// A write cut short proves that the worker never had the whole request.
@@ -131,7 +131,7 @@
 	case err == nil:
 		return conn
 	case c.ctx.Err() != nil: // given up before anything was sent
-		r.end(c, balance.StatusMoot, nil)
+		r.end(c, balance.StatusNotSent, nil)
 	case errors.Is(err, link.ErrHeld): // the worker has no room for us: nothing was sent
 		r.end(c, balance.StatusFull, nil)
 	default:
@@ -159,7 +159,7 @@
 	default:
 		r.log.Warn("worker answered", "status", code, "worker", c.attempt.Worker.Name, "id", c.attempt.Request.ID)
 		if isUnfit(code) {
-			r.end(c, balance.StatusUnfit, nil)
+			r.end(c, balance.StatusInvalid, nil)
 		} else {
 			r.end(c, balance.StatusError, nil)
 		}
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -28,8 +28,8 @@
 
 // Job is what is known of a stored job.
 type Job struct {
-	Effect balance.Effect
-	Group  balance.Group
+	Effect balance.Idempotency
+	Group  balance.DedupScope
 	Span   time.Duration
 	Since  time.Duration // it might first start
 	Offers int           // that ended without a result
@@ -66,9 +66,9 @@
 // Decision is what to do, and why.
 type Decision struct {
 	Do      Action
-	At      time.Duration    // Wait
-	Reason  string           // Bury
-	Earlier *balance.Earlier // Offer: what binds the policy, nil for nothing
+	At      time.Duration         // Wait
+	Reason  string                // Bury
+	Earlier *balance.PriorAttempt // Offer: what binds the policy, nil for nothing
 }
 
 // End is how an offer ended.
@@ -110,7 +110,7 @@
 // bury ends a job. That it may have run weighs more than any other reason: whoever releases it
 // must know.
 func (p *Planner) bury(j *Job, reason string) Decision {
-	if mayRepeat := j.Effect == balance.Safe; !mayRepeat && (j.First != nil || j.Unclear) {
+	if mayRepeat := j.Effect == balance.Idempotent; !mayRepeat && (j.First != nil || j.Unclear) {
 		reason = Unknown
 	}
 	return Decision{Do: Bury, Reason: reason}
@@ -120,17 +120,17 @@
 // job goes only to the group that knows its key, and only within the span; the policy is told
 // of that send and holds to both while the offer lasts.
 func (p *Planner) repeat(now time.Duration, j *Job) Decision {
-	if j.Effect == balance.Safe || j.First == nil && !j.Unclear {
+	if j.Effect == balance.Idempotent || j.First == nil && !j.Unclear {
 		return Decision{Do: Offer}
 	}
-	if j.Unclear || j.Effect == balance.Unsafe {
+	if j.Unclear || j.Effect == balance.NonIdempotent {
 		return Decision{Do: Bury, Reason: Unknown}
 	}
 	ago := now - j.First.At
 	if ago < 0 || ago >= j.Span-margin { // before its own send: the clock was set back
 		return Decision{Do: Bury, Reason: Unknown}
 	}
-	return Decision{Do: Offer, Earlier: &balance.Earlier{Zone: j.First.Zone, Cell: j.First.Cell, Ago: ago}}
+	return Decision{Do: Offer, Earlier: &balance.PriorAttempt{Zone: j.First.Zone, Cell: j.First.Cell, Age: ago}}
 }
 
 // After decides on a job whose offer has ended; j.Offers counts it already. retryAfter is the
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -16,23 +16,23 @@
 
 func TestBefore(t *testing.T) {
 	sent := &Send{Zone: 1, Cell: 2, At: 100 * time.Second}
-	keyed := Job{Effect: balance.Keyed, Group: balance.GroupCell, Span: 10 * time.Second, First: sent}
+	keyed := Job{Effect: balance.Deduplicated, Group: balance.ScopeCell, Span: 10 * time.Second, First: sent}
 	unclear := keyed
 	unclear.Unclear = true
-	unsafe := Job{Effect: balance.Unsafe, First: sent}
-	safe := Job{Effect: balance.Safe, First: sent, Unclear: true}
+	unsafe := Job{Effect: balance.NonIdempotent, First: sent}
+	safe := Job{Effect: balance.Idempotent, First: sent, Unclear: true}
 	for name, c := range map[string]struct {
 		at   time.Duration
 		job  Job
 		want Decision
 	}{
 		"safe at once":                 {500 * time.Second, safe, Decision{Do: Offer}},
-		"keyed, nothing sent":          {500 * time.Second, Job{Effect: balance.Keyed}, Decision{Do: Offer}},
-		"keyed within its span":        {104 * time.Second, keyed, Decision{Do: Offer, Earlier: &balance.Earlier{Zone: 1, Cell: 2, Ago: 4 * time.Second}}},
+		"keyed, nothing sent":          {500 * time.Second, Job{Effect: balance.Deduplicated}, Decision{Do: Offer}},
+		"keyed within its span":        {104 * time.Second, keyed, Decision{Do: Offer, Earlier: &balance.PriorAttempt{Zone: 1, Cell: 2, Age: 4 * time.Second}}},
 		"keyed at the span's end":      {110*time.Second - margin, keyed, Decision{Do: Bury, Reason: Unknown}},
 		"keyed, clock before its send": {99 * time.Second, keyed, Decision{Do: Bury, Reason: Unknown}},
 		"keyed, unclear":               {101 * time.Second, unclear, Decision{Do: Bury, Reason: Unknown}},
-		"unsafe, nothing sent":         {500 * time.Second, Job{Effect: balance.Unsafe}, Decision{Do: Offer}},
+		"unsafe, nothing sent":         {500 * time.Second, Job{Effect: balance.NonIdempotent}, Decision{Do: Offer}},
 		"unsafe that may have run":     {101 * time.Second, unsafe, Decision{Do: Bury, Reason: Unknown}},
 		"expired":                      {2 * time.Hour, Job{}, Decision{Do: Bury, Reason: Expired}},
 		"expired, may have run":        {2 * time.Hour, keyed, Decision{Do: Bury, Reason: Unknown}},
@@ -49,7 +49,7 @@
 	require.Equal(t, Decision{Do: Bury, Reason: Refused}, p.After(0, &Job{Offers: 4}, WasRefused, 0))
 	require.Equal(t, Decision{Do: Bury, Reason: Failed}, p.After(0, &Job{Offers: 4}, HasFailed, 0))
 	for range 100 { // a wait that outlasted the span would end the job unknown
-		d := p.After(9*time.Second, &Job{Effect: balance.Keyed, Span: 10 * time.Second, Offers: 3, First: &Send{}}, WasRefused, 0)
+		d := p.After(9*time.Second, &Job{Effect: balance.Deduplicated, Span: 10 * time.Second, Offers: 3, First: &Send{}}, WasRefused, 0)
 		require.Equal(t, Wait, d.Do)
 		require.Less(t, d.At, 10*time.Second-margin)
 	}
@@ -68,8 +68,8 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := time.Duration(rapid.IntRange(1, 60).Draw(t, "span")) * time.Second
-		j := &Job{Effect: rapid.SampledFrom([]balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe}).Draw(t, "effect"),
-			Group: rapid.SampledFrom([]balance.Group{balance.GroupAll, balance.GroupZone, balance.GroupCell}).Draw(t, "group"), Span: span}
+		j := &Job{Effect: rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.Deduplicated, balance.NonIdempotent}).Draw(t, "effect"),
+			Group: rapid.SampledFrom([]balance.DedupScope{balance.ScopeFleet, balance.ScopeZone, balance.ScopeCell}).Draw(t, "group"), Span: span}
 		p := New(limits, rapid.Uint64().Draw(t, "seed"))
 		now := time.Duration(0)
 		type run struct {
@@ -91,17 +91,17 @@
 			for range rapid.IntRange(0, 3).Draw(t, "sends") {
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
 				zone, cell := rapid.IntRange(0, 1).Draw(t, "zone"), rapid.IntRange(0, 3).Draw(t, "cell")
-				if len(ran) > 0 && j.Effect != balance.Safe {
-					if j.Effect == balance.Unsafe || now >= ran[0].at+span {
+				if len(ran) > 0 && j.Effect != balance.Idempotent {
+					if j.Effect == balance.NonIdempotent || now >= ran[0].at+span {
 						break // the policy's own rule, tested with it
 					}
 					if d.Earlier != nil {
-						require.Equal(t, balance.Earlier{Zone: ran[0].zone, Cell: ran[0].cell, Ago: d.Earlier.Ago}, *d.Earlier)
+						require.Equal(t, balance.PriorAttempt{Zone: ran[0].zone, Cell: ran[0].cell, Age: d.Earlier.Age}, *d.Earlier)
 					}
 					switch j.Group {
-					case balance.GroupZone:
+					case balance.ScopeZone:
 						zone = ran[0].zone
-					case balance.GroupCell:
+					case balance.ScopeCell:
 						cell = ran[0].cell
 					}
 				}
@@ -117,13 +117,13 @@
 					end = WasRefused
 					continue
 				}
-				if len(ran) > 0 && j.Effect != balance.Safe {
-					require.Equal(t, balance.Keyed, j.Effect, "an unsafe job ran twice")
+				if len(ran) > 0 && j.Effect != balance.Idempotent {
+					require.Equal(t, balance.Deduplicated, j.Effect, "an unsafe job ran twice")
 					require.Less(t, now, ran[0].at+span, "a keyed job was sent after its span")
-					if j.Group == balance.GroupZone {
+					if j.Group == balance.ScopeZone {
 						require.Equal(t, ran[0].zone, zone)
 					}
-					if j.Group == balance.GroupCell {
+					if j.Group == balance.ScopeCell {
 						require.Equal(t, ran[0].cell, cell)
 					}
 				}
@@ -138,7 +138,7 @@
 				j.Unclear = j.Unclear || rapid.IntRange(0, 9).Draw(t, "clock set back") == 0
 				continue
 			}
-			if end == WasRefused && len(ran) > 0 && j.Effect != balance.Safe {
+			if end == WasRefused && len(ran) > 0 && j.Effect != balance.Idempotent {
 				end = HasFailed // what may have run is not refused
 			}
 			j.Offers++
@@ -147,7 +147,7 @@
 				require.Equal(t, Served, end)
 				ends++
 			case Bury:
-				if len(ran) > 0 && j.Effect != balance.Safe {
+				if len(ran) > 0 && j.Effect != balance.Idempotent {
 					require.Equal(t, Unknown, d.Reason)
 				}
 				ends++
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -67,7 +67,7 @@
 		attribute.String("tinroute.front", o.front), attribute.String("tinroute.class", class.Name), attribute.String("tinroute.request.id", r.id),
 		attribute.String("tinroute.tenant", o.tenant(r.tenant)), attribute.String("tinroute.verdict", r.verdict()),
 		attribute.Int("tinroute.attempts", len(r.tasks)), attribute.Bool("tinroute.late", r.late(class)),
-		attribute.Float64("tinroute.aim_ms", ms(class.Aim)), attribute.String("tinroute.kept", why), attribute.Bool("tinroute.answer.written", r.whole)))
+		attribute.Float64("tinroute.aim_ms", ms(class.Target)), attribute.String("tinroute.kept", why), attribute.Bool("tinroute.answer.written", r.whole)))
 	if r.answer.Reason != "" {
 		root.SetAttributes(attribute.String("tinroute.reason", r.answer.Reason))
 	}
@@ -294,7 +294,7 @@
 			return nil
 		}
 		f := attribute.String("front", front)
-		to.ObserveFloat64(queue, float64(v.Queue), metric.WithAttributes(f))
+		to.ObserveFloat64(queue, float64(v.Queued), metric.WithAttributes(f))
 		to.ObserveFloat64(open, float64(core.Open()), metric.WithAttributes(f))
 		for i, w := range v.Workers {
 			if i >= min(t.o.Regions, dispatch.ViewNames) { // a sum over the rest would mix what cannot be added
@@ -303,11 +303,11 @@
 			a := metric.WithAttributes(f, attribute.String("region", v.Names[w.ID]))
 			to.ObserveFloat64(flight, w.Used, a)
 			to.ObserveFloat64(slots, w.Slots, a)
-			to.ObserveFloat64(others, w.Others, a)
+			to.ObserveFloat64(others, w.UsedByOthers, a)
 			to.ObserveFloat64(slowness, w.Slowness, a)
-			to.ObserveFloat64(held, w.Held.Seconds(), a)
+			to.ObserveFloat64(held, w.HeldFor.Seconds(), a)
 		}
-		for i, row := range v.Thresholds {
+		for i, row := range v.CopyThresholds {
 			for j, x := range row {
 				if !math.IsInf(x, 0) && !math.IsNaN(x) {
 					to.ObserveFloat64(threshold, x, metric.WithAttributes(f, attribute.String("from", strconv.Itoa(i)), attribute.String("to", strconv.Itoa(j))))
--- a/internal/telemetry/record.go
+++ b/internal/telemetry/record.go
@@ -330,11 +330,11 @@
 // late tells whether an answer came after its class's aim: the aim, and the stretch times its own
 // running time, where a region told of its start.
 func (r *record) late(c *balance.Class) bool {
-	aim := c.Aim
+	aim := c.Target
 	if k := r.served(); k != nil && !k.started.IsZero() {
 		aim += time.Duration(c.Stretch * float64(k.ended.Sub(k.started)))
 	}
-	return r.answer.Verdict == dispatch.Served && !r.left && c.Aim > 0 && r.end().Sub(r.asked) > aim
+	return r.answer.Verdict == dispatch.Served && !r.left && c.Target > 0 && r.end().Sub(r.asked) > aim
 }
 
 func (r *record) summary(c *balance.Class) tailsampling.Trace {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -20,7 +20,7 @@
 	"tinroute.example/tinroute/internal/tailsampling"
 )
 
-var settings = &balance.Settings{Classes: []balance.Class{{Name: "price-read", Aim: time.Second}},
+var settings = &balance.Settings{Classes: []balance.Class{{Name: "price-read", Target: time.Second}},
 	Tenants: []balance.Tenant{{Name: "argane-epargne"}}}
 
 // collected is a collector and what it took.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -48,11 +48,11 @@
 	Now      time.Duration
 	Settings *balance.Settings
 	Names    *config.Names
-	List     balance.ListKind
+	List     balance.UpdateKind
 	Members  []balance.Member
 	Job      balance.Job
-	Result   balance.Result
-	Note     balance.NoteKind
+	Result   balance.AttemptResult
+	Note     balance.EventKind
 	Amount   float64
 	Token    uint64
 	From     int
@@ -139,13 +139,13 @@
 		e.From = int(d.whole(2, "neighbour"))
 		d.bytes(3, "blob")
 	case Probed:
-		e.Result = balance.Result{Worker: balance.WorkerID(d.whole(2, "runner")), Status: d.status(3),
+		e.Result = balance.AttemptResult{Worker: balance.WorkerID(d.whole(2, "runner")), Status: d.status(3),
 			Elapsed: d.seconds(4, "duration_s", false), Report: d.report(5)}
 	case Note:
 		e.Job.ID = balance.JobID(d.whole(2, "ticket"))
 		e.Result.Attempt = int(d.whole(3, "send_no"))
 		e.Result.Worker = balance.WorkerID(d.whole(4, "runner"))
-		e.Note = balance.NoteKind(d.whole(5, "kind"))
+		e.Note = balance.EventKind(d.whole(5, "kind"))
 		e.Amount = d.number(6, "amount", false)
 	}
 }
@@ -178,10 +178,10 @@
 	}
 	e.Job = balance.Job{ID: balance.JobID(d.whole(2, "ticket")), Class: d.name(3, "band", n.Class, true),
 		Tenant: d.name(4, "tenant", n.Tenant, false), Key: string(d.text(5, "subject", false)),
-		Patience: d.seconds(6, "patience_left_s", true), Slots: d.number(8, "slots", false),
+		ClientTimeout: d.seconds(6, "patience_left_s", true), Slots: d.number(8, "slots", false),
 		Memory: d.number(9, "mem", false)}
 	if int(d.number(10, "attrs", false))&1 != 0 {
-		e.Job.Hint = d.seconds(7, "work_hint_s", false)
+		e.Job.ExpectedWork = d.seconds(7, "work_hint_s", false)
 	}
 	if e.Job.Slots <= 0 {
 		e.Job.Slots = 1
@@ -194,7 +194,7 @@
 var statuses = map[string]balance.Status{
 	"pass": balance.StatusOK, "fault": balance.StatusError, "no_room": balance.StatusFull,
 	"too_slow": balance.StatusTimeout, "no_route": balance.StatusUnreachable, "cut": balance.StatusReset,
-	"undone": balance.StatusCancelled, "stale_send": balance.StatusMoot,
+	"undone": balance.StatusCancelled, "stale_send": balance.StatusNotSent,
 }
 
 func (d *Decoder) status(i int) balance.Status {
@@ -208,17 +208,17 @@
 
 func (d *Decoder) outcome() {
 	closed := d.at(8)
-	d.event.Result = balance.Result{Job: balance.JobID(d.whole(2, "ticket")), Status: d.status(3),
+	d.event.Result = balance.AttemptResult{Job: balance.JobID(d.whole(2, "ticket")), Status: d.status(3),
 		Attempt: int(d.whole(4, "send_no")), Worker: balance.WorkerID(d.whole(5, "runner")),
-		Elapsed: d.seconds(7, "duration_s", false), Closed: closed != nil && closed.Type() == fastjson.TypeTrue,
+		Elapsed: d.seconds(7, "duration_s", false), JobDone: closed != nil && closed.Type() == fastjson.TypeTrue,
 		Report: d.report(9)}
 	if closed != nil && closed.Type() != fastjson.TypeTrue && closed.Type() != fastjson.TypeFalse {
 		d.fail("settled", "not true or false")
 	}
 }
 
-func (d *Decoder) report(i int) balance.Report {
-	r := balance.NoReport()
+func (d *Decoder) report(i int) balance.LoadReport {
+	r := balance.NoLoadReport()
 	v := d.at(i)
 	if v == nil {
 		return r
@@ -252,9 +252,9 @@
 }
 
 var (
-	lists = map[string]balance.ListKind{"delta": balance.ListChange, "full": balance.ListFull,
-		"cached": balance.ListCached, "failed": balance.ListFailed}
-	conditions = map[string]balance.Condition{"SERVING": balance.Serving, "DRAINING": balance.Draining,
+	lists = map[string]balance.UpdateKind{"delta": balance.UpdateDelta, "full": balance.UpdateFull,
+		"cached": balance.UpdateCached, "failed": balance.UpdateFailed}
+	conditions = map[string]balance.WorkerState{"SERVING": balance.Serving, "DRAINING": balance.Draining,
 		"DELETED": balance.Gone}
 )
 
@@ -289,9 +289,9 @@
 		if !ok {
 			d.fail("condition", fmt.Sprintf("unknown value %q", text))
 		}
-		e.Members = append(e.Members, balance.Member{Condition: c, Weight: d.number(1, "heft", false),
+		e.Members = append(e.Members, balance.Member{State: c, Weight: d.number(1, "heft", false),
 			Kind: d.name(2, "family_type", n.Kind, false), ID: balance.WorkerID(d.whole(3, "runner")),
-			Cell: int(d.number(4, "cohort", false)), Started: d.seconds(5, "ready_at_s", false),
+			Cell: int(d.number(4, "cohort", false)), StartedAt: d.seconds(5, "ready_at_s", false),
 			Zone: d.name(6, "zone", n.Zone, false)})
 	}
 	d.fields = outer
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -81,8 +81,8 @@
 	e.end()
 }
 
-// Wake writes a wake_at.
-func (e *Encoder) Wake(after time.Duration, token uint64) {
+// SetTimer writes a wake_at.
+func (e *Encoder) SetTimer(after time.Duration, token uint64) {
 	e.begin("wake_at")
 	e.seconds(after)
 	e.whole(token)
@@ -102,10 +102,10 @@
 	e.end()
 }
 
-// Tell writes a notify to one peer or to every one.
-func (e *Encoder) Tell(to int, data []byte) {
+// SendToPeer writes a notify to one peer or to every one.
+func (e *Encoder) SendToPeer(to int, data []byte) {
 	e.begin("notify")
-	if to == balance.Everyone {
+	if to == balance.AllPeers {
 		e.line = append(e.line, `,"all","`...)
 	} else {
 		e.line = strconv.AppendInt(append(e.line, ','), int64(to), 10)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	s, c := e.Settings, e.Settings.Classes[0]
-	if s.Seed != 1<<64-1 || s.Fleet != 3 || s.Position != 1 || s.Zone != 1 || s.MaxAttempts != 4 ||
+	if s.Seed != 1<<64-1 || s.FleetSize != 3 || s.Position != 1 || s.Zone != 1 || s.MaxAttempts != 4 ||
 		s.ConnectTimeout != 250*time.Millisecond || s.Tenants[0].Quota != 4 {
 		t.Errorf("settings %+v", s)
 	}
-	if c.Effect != balance.Keyed || c.Group != balance.GroupCell || c.Span != 25*time.Second || c.Stretch != 1.75 ||
-		c.Kind != -1 {
+	if c.Idempotency != balance.Deduplicated || c.DedupScope != balance.ScopeCell || c.DedupWindow != 25*time.Second || c.Stretch != 1.75 ||
+		c.WorkerKind != -1 {
 		t.Errorf("class %+v", c)
 	}
 }
@@ -50,22 +50,22 @@
 		{`["frame",8.41225]`, func(e *Event) bool { return e.Now == 8412250*time.Microsecond }},
 		{`["ask",3,958853012951492,"clip","t1","fn:k",0.24,0.012,2,null,3]`, func(e *Event) bool {
 			j := e.Job
-			return j.ID == 958853012951492 && j.Tenant == 0 && j.Key == "fn:k" && j.Patience == 240*time.Millisecond &&
-				j.Hint == 12*time.Millisecond && j.Slots == 2
+			return j.ID == 958853012951492 && j.Tenant == 0 && j.Key == "fn:k" && j.ClientTimeout == 240*time.Millisecond &&
+				j.ExpectedWork == 12*time.Millisecond && j.Slots == 2
 		}},
 		{`["ask",3,1,"clip",null,null,0.24,0.5,null,null,0]`, func(e *Event) bool {
-			return e.Job.Hint == 0 && e.Job.Slots == 1 && e.Job.Tenant == -1
+			return e.Job.ExpectedWork == 0 && e.Job.Slots == 1 && e.Job.Tenant == -1
 		}},
 		{`["attempt_end",3,9,"pass",0,77,null,0.0185,true,{"queue":3,"util":0.62,"x0":0.4}]`, func(e *Event) bool {
 			r := e.Result
-			return r.Status == balance.StatusOK && r.Closed && r.Report.FreeSlots == 0.4 && r.Report.InFlight == -1
+			return r.Status == balance.StatusOK && r.JobDone && r.Report.FreeSlots == 0.4 && r.Report.InFlight == -1
 		}},
 		{`["announce",3,"delta",4,[["DRAINING",1.5,"small",747,2,6.1,"a"]]]`, func(e *Event) bool {
-			return len(e.Members) == 1 && e.Members[0] == balance.Member{ID: 747, Condition: balance.Draining,
-				Weight: 1.5, Kind: 1, Zone: 0, Cell: 2, Started: 6100 * time.Millisecond}
+			return len(e.Members) == 1 && e.Members[0] == balance.Member{ID: 747, State: balance.Draining,
+				Weight: 1.5, Kind: 1, Zone: 0, Cell: 2, StartedAt: 6100 * time.Millisecond}
 		}},
 		{`["memo",3,2,"aGkgNw=="]`, func(e *Event) bool { return e.From == 2 && string(e.Data) == "hi 7" }},
-		{`["note",3,9,0,77,2,0.5]`, func(e *Event) bool { return e.Note == balance.NoteProgress && e.Amount == 0.5 }},
+		{`["note",3,9,0,77,2,0.5]`, func(e *Event) bool { return e.Note == balance.EventProgress && e.Amount == 0.5 }},
 		{`["alarm",3,9223372036854775807]`, func(e *Event) bool { return e.Token == 1<<63-1 }},
 		{`["probe_done",3,747,"too_slow",0.25,null]`, func(e *Event) bool {
 			return e.Result.Status == balance.StatusTimeout && e.Result.Worker == 747
@@ -114,11 +114,11 @@
 	e.Cancel(5, 1)
 	e.Refuse(6, 250*time.Millisecond)
 	e.Fail(7)
-	e.Wake(500*time.Millisecond, 77)
+	e.SetTimer(500*time.Millisecond, 77)
 	e.Watch()
 	e.Fetch()
-	e.Tell(balance.Everyone, []byte("hi 7"))
-	e.Tell(4, []byte("hi 7"))
+	e.SendToPeer(balance.AllPeers, []byte("hi 7"))
+	e.SendToPeer(4, []byte("hi 7"))
 	e.Probe(8)
 	e.Log("two \"servers\"\n")
 	e.Fault("oh")
