--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -4,34 +4,34 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Started takes a worker's word that it has begun with an attempt.
-func (c *Core) Started(t *Attempt) { c.note(t, balance.EventStarted, 0) }
+// AttemptStarted takes a worker's word that it has begun with an attempt.
+func (c *Core) AttemptStarted(t *Attempt) { c.note(t, balance.EventStarted, 0) }
 
-// Progress takes a worker's word on how much of an attempt it has done.
-func (c *Core) Progress(t *Attempt, share float64) { c.note(t, balance.EventProgress, share) }
+// AttemptProgress takes a worker's word on how much of an attempt it has done.
+func (c *Core) AttemptProgress(t *Attempt, share float64) { c.note(t, balance.EventProgress, share) }
 
 func (c *Core) note(t *Attempt, kind balance.EventKind, share float64) {
 	c.post(func() {
 		if t.done {
 			return
 		}
-		if f, ok := t.Request.Client.(Follower); ok && !t.Request.over {
+		if f, ok := t.Request.Client.(ProgressReceiver); ok && !t.Request.over {
 			f.Progress(share)
 		}
 		if !t.started {
 			t.started = true
 			for _, p := range c.phases {
-				p.Started(t)
+				p.AttemptStarted(t)
 			}
 		}
-		c.balancer.AttemptEvent(c.now, t.Request.job, t.No, kind, share)
+		c.balancer.AttemptEvent(c.now, t.Request.job, t.Index, kind, share)
 	})
 }
 
-// Ended takes the outcome of an attempt from its driver, which then holds nothing of
+// AttemptEnded takes the outcome of an attempt from its driver, which then holds nothing of
 // it any more. Only the first outcome counts; a later one just settles a cancelled attempt.
-func (c *Core) Ended(t *Attempt, s balance.Status, result []byte) {
-	t.Mark(Reported)
+func (c *Core) AttemptEnded(t *Attempt, s balance.Status, result []byte) {
+	t.RecordEvent(Reported)
 	c.post(func() {
 		if !t.settled {
 			t.settled = true
@@ -57,15 +57,15 @@
 	request.out--
 	c.active--
 	if !t.unsent {
-		c.observe(func(o Observer) { o.Ended(t, s, c.now-t.sent) })
+		c.observe(func(o Observer) { o.AttemptEnded(t, s, c.now-t.sent) })
 	}
 	switch s {
 	case balance.StatusOK:
 		c.answer(request, Answer{Verdict: Served, Result: result})
 	case balance.StatusInvalid:
-		c.answer(request, Answer{Verdict: Failed, Unfit: true, Reason: "a worker turned the request itself away"})
+		c.answer(request, Answer{Verdict: Failed, InvalidRequest: true, Reason: "a worker turned the request itself away"})
 	}
-	c.balancer.AttemptDone(c.now, balance.AttemptResult{Job: request.job, Attempt: t.No, Worker: t.Worker.ID, Status: s,
+	c.balancer.AttemptDone(c.now, balance.AttemptResult{Job: request.job, Attempt: t.Index, Worker: t.Worker.ID, Status: s,
 		Elapsed: c.now - t.sent, JobDone: request.over, Report: balance.NoLoadReport()})
 	c.forget(request)
 }
@@ -81,6 +81,6 @@
 		t.Request.unsettled = map[balance.WorkerID]int{}
 	}
 	t.Request.unsettled[t.Worker.ID]++
-	c.observe(func(o Observer) { o.Withdrawn(t) })
+	c.observe(func(o Observer) { o.AttemptCancelled(t) })
 	c.workers.Cancel(t)
 }
--- a/dispatch/clock.go
+++ b/dispatch/clock.go
@@ -26,10 +26,10 @@
 // Now is the time since the Unix epoch.
 func (c Clock) Now() time.Duration { return c.base + time.Since(c.start) }
 
-// WorkerIDOf maps a worker's name to the number that the balancer knows it by. Dispatchers
+// WorkerIDFromName maps a worker's name to the number that the balancer knows it by. Dispatchers
 // take turns at a cold worker by that number, so it must be the same at each of them: it
 // follows from the name alone, never from the order in which names were met.
-func WorkerIDOf(name string) balance.WorkerID {
+func WorkerIDFromName(name string) balance.WorkerID {
 	if _, tail, ok := strings.Cut(name, "-"); ok && len(tail) == 8 {
 		if x, err := strconv.ParseUint(tail, 16, 32); err == nil {
 			return balance.WorkerID(x)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -36,7 +36,7 @@
 	clock      Clock
 	virtual    func() time.Duration // the handed-in clock of a core that is not Run, else nil
 	turning    bool                 // inside a turn of such a core
-	workers    Workers
+	workers    Driver
 	table      Discovery
 	hook       Hook
 	watching   []Observer
@@ -76,7 +76,7 @@
 	Clock func() time.Duration
 	// Hand holds the workers out by hand, which may be shared by several cores. The core sends
 	// nothing new to them from the turn after the change, and tells it by OverridesApplied.
-	Hand *override.Set
+	Overrides *override.Set
 	// Shares are what a fleet's budgets leave to this dispatcher; nil for none. A Policy is not handed them.
 	Shares balance.FleetBudget
 	// Policy makes what decides in place of balance, for experiments that set other policies
@@ -102,7 +102,7 @@
 	c := &Core{virtual: o.Clock, settings: o.Settings, log: o.Log, hook: o.Hook, watching: o.Observers, clock: NewClock(),
 		events: make(chan func(), mailbox), closed: make(chan struct{}),
 		jobs: map[balance.JobID]*Request{}, ids: map[string]*Request{}, members: map[balance.WorkerID]Worker{},
-		hand: o.Hand, out: map[string]bool{}, back: map[balance.WorkerID]time.Duration{}}
+		hand: o.Overrides, out: map[string]bool{}, back: map[balance.WorkerID]time.Duration{}}
 	c.counts.classes = make([]classCounts, len(o.Settings.Classes))
 	if c.hand != nil {
 		c.handed = c.hand.Subscribe()
@@ -130,7 +130,7 @@
 }
 
 // Connect gives the core its drivers, which in turn know the core.
-func (c *Core) Connect(r Workers, t Discovery) { c.workers, c.table = r, t }
+func (c *Core) Connect(r Driver, t Discovery) { c.workers, c.table = r, t }
 
 // Settings are those that the core was made with.
 func (c *Core) Settings() *balance.Settings { return &c.settings }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -47,7 +47,7 @@
 }
 
 func submit(c *Core, f *fleet) *Request {
-	request := &Request{ID: "1", Tenant: -1, Patience: 5 * time.Second, Slots: 1, Client: f}
+	request := &Request{ID: "1", Tenant: -1, Timeout: 5 * time.Second, Slots: 1, Client: f}
 	c.Submit(request)
 	synctest.Wait()
 	return request
@@ -60,12 +60,12 @@
 		request := submit(c, f)
 		attempt := f.started[0]
 		for range 3 {
-			c.Ended(attempt, balance.StatusOK, []byte("r"))
-			c.Ended(attempt, balance.StatusReset, nil)
-			c.Started(attempt)
-			c.Progress(attempt, 0.5)
+			c.AttemptEnded(attempt, balance.StatusOK, []byte("r"))
+			c.AttemptEnded(attempt, balance.StatusReset, nil)
+			c.AttemptStarted(attempt)
+			c.AttemptProgress(attempt, 0.5)
 		}
-		c.Leave(request)
+		c.CancelRequest(request)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		require.Equal(t, []Answer{{Verdict: Served, Result: []byte("r")}}, f.answers)
@@ -118,17 +118,17 @@
 		synctest.Wait()
 		require.Equal(t, time.Duration(time.Now().UnixNano()), c.Now())
 	})
-	require.Equal(t, balance.WorkerID(0x5be2a07c), WorkerIDOf("s-5be2a07c"))
-	require.NotEqual(t, WorkerIDOf("price-node-1"), WorkerIDOf("price-node-2"))
-	require.Greater(t, WorkerIDOf("price-node-1"), balance.WorkerID(1)<<32, "no hash may meet a parsed id")
+	require.Equal(t, balance.WorkerID(0x5be2a07c), WorkerIDFromName("s-5be2a07c"))
+	require.NotEqual(t, WorkerIDFromName("price-node-1"), WorkerIDFromName("price-node-2"))
+	require.Greater(t, WorkerIDFromName("price-node-1"), balance.WorkerID(1)<<32, "no hash may meet a parsed id")
 }
 
 // A request that another goroutine gives up before the submitting one has handed it over is
 // not begun, and none is counted as open.
 func TestLeftBeforeItBegan(t *testing.T) {
 	play(t, 1, nil, func(c *Core, f *fleet) {
-		request := &Request{ID: "1", Tenant: -1, Patience: 5 * time.Second, Slots: 1, Client: f}
-		c.Leave(request)
+		request := &Request{ID: "1", Tenant: -1, Timeout: 5 * time.Second, Slots: 1, Client: f}
+		c.CancelRequest(request)
 		synctest.Wait()
 		c.Submit(request)
 		synctest.Wait()
@@ -147,12 +147,12 @@
 		request := submit(c, f)
 		for i := range 3 {
 			require.Len(t, f.started, i+1)
-			c.Ended(f.started[i], balance.StatusUnreachable, nil)
+			c.AttemptEnded(f.started[i], balance.StatusUnreachable, nil)
 			synctest.Wait()
 		}
 		require.Len(t, f.started, 4, "a fourth worker is tried after three refused connects")
 		require.Empty(t, f.answers)
-		c.Ended(f.started[3], balance.StatusOK, []byte("r"))
+		c.AttemptEnded(f.started[3], balance.StatusOK, []byte("r"))
 		synctest.Wait()
 		require.Equal(t, []Answer{{Verdict: Served, Result: []byte("r")}}, f.answers)
 		require.Zero(t, c.Open())
--- a/dispatch/counts.go
+++ b/dispatch/counts.go
@@ -5,7 +5,7 @@
 // ClassCounts are the final answers of one class since the core began, and its attempts
 // that were written whole.
 type ClassCounts struct {
-	Served, Refused, Failed, Written int64
+	Served, Refused, Failed, AttemptsWritten int64
 }
 
 // counts are the core's counters. They are counted where the outcome is decided, once, and
@@ -46,11 +46,11 @@
 	for i := range c.counts.classes {
 		k := &c.counts.classes[i]
 		all[i] = ClassCounts{Served: k.served.Load(), Refused: k.refused.Load(), Failed: k.failed.Load(),
-			Written: k.written.Load()}
+			AttemptsWritten: k.written.Load()}
 	}
 	return all
 }
 
-// Hosts are the workers that discovery lists, and of them those that the core avoids
+// WorkerCounts are the workers that discovery lists, and of them those that the core avoids
 // now: drained, out by hand, or held back by the policy.
-type Hosts struct{ Listed, Down int }
+type WorkerCounts struct{ Listed, Unavailable int }
--- a/dispatch/host.go
+++ b/dispatch/host.go
@@ -16,11 +16,11 @@
 	if request == nil {
 		return
 	}
-	t := &Attempt{Request: request, No: len(request.attempts), sent: h.now, Wait: request.end - h.now, sentAt: time.Now(), counted: h.counts.of(request.Class)}
+	t := &Attempt{Request: request, Index: len(request.attempts), sent: h.now, Timeout: request.end - h.now, sentAt: time.Now(), counted: h.counts.of(request.Class)}
 	if timeout > 0 {
-		t.Wait = min(t.Wait, timeout)
+		t.Timeout = min(t.Timeout, timeout)
 	}
-	t.Again = slices.ContainsFunc(request.attempts, func(o *Attempt) bool { return o.Worker.ID == to && !o.unsent })
+	t.SameWorker = slices.ContainsFunc(request.attempts, func(o *Attempt) bool { return o.Worker.ID == to && !o.unsent })
 	request.attempts = append(request.attempts, t)
 	request.out++
 	h.active++
@@ -30,19 +30,19 @@
 	// A worker receives one attempt of a request at a time: while an earlier one there
 	// is not settled, none is sent.
 	// One out by hand gets nothing new, whatever the balancer was told: this guards the ban.
-	if !known || request.over || t.Wait <= 0 || request.spent(h.settings.MaxAttempts) || request.unsettled[to] > 0 ||
+	if !known || request.over || t.Timeout <= 0 || request.spent(h.settings.MaxAttempts) || request.unsettled[to] > 0 ||
 		h.out[worker.Name] {
 		t.settled, t.unsent = true, true
 		h.deferred = append(h.deferred, func() { h.ended(t, balance.StatusNotSent, nil) })
 		return
 	}
-	t.limit = h.after(t.Wait, func() {
+	t.limit = h.after(t.Timeout, func() {
 		if !t.done {
 			h.withdraw(t)
 			h.ended(t, balance.StatusTimeout, nil)
 		}
 	})
-	h.observe(func(o Observer) { o.Sent(t) })
+	h.observe(func(o Observer) { o.AttemptSent(t) })
 	h.workers.Start(t)
 }
 
@@ -65,7 +65,7 @@
 
 func (h host) Fail(job balance.JobID) {
 	if request := h.jobs[job]; request != nil {
-		h.answer(request, Answer{Verdict: Failed, Late: h.now >= request.end-overdue, Reason: "not served, and it may have run"})
+		h.answer(request, Answer{Verdict: Failed, TimedOut: h.now >= request.end-overdue, Reason: "not served, and it may have run"})
 	}
 }
 
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -18,7 +18,7 @@
 			members[i] = c.overridden(r)
 			if was, ok := before[r.ID]; ok && was.State == balance.Serving && r.State != balance.Serving {
 				for _, p := range c.phases {
-					p.Drained(r)
+					p.WorkerDrained(r)
 				}
 			}
 			if r.State == balance.Gone {
@@ -84,11 +84,11 @@
 	}
 }
 
-// OverridesApplied is the generation of the workers out by hand that the core obeys.
-func (c *Core) OverridesApplied() uint64 { return c.heard.Load() }
+// OverrideGeneration is the generation of the workers out by hand that the core obeys.
+func (c *Core) OverrideGeneration() uint64 { return c.heard.Load() }
 
-// UpdateFailed takes word that an inquiry of discovery failed, or that the
+// DiscoveryFailed takes word that an inquiry of discovery failed, or that the
 // subscription broke.
-func (c *Core) UpdateFailed() {
+func (c *Core) DiscoveryFailed() {
 	c.post(func() { c.balancer.UpdateMembers(c.now, balance.UpdateFailed, nil) })
 }
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -19,7 +19,7 @@
 			ConnectTimeout: 250 * time.Millisecond, Tick: 5 * time.Millisecond, ReportsStart: true, MaxRetryAfter: 2 * time.Second,
 			Classes: []balance.Class{{Name: "price-read", Target: time.Second, Stretch: 2, Deadline: 5 * time.Second, Worth: 1, WorkerKind: -1}}}
 		book := override.New()
-		c, err := New(Options{Settings: s, Hand: book})
+		c, err := New(Options{Settings: s, Overrides: book})
 		require.NoError(t, err)
 		f := &fleet{}
 		c.Connect(f, f)
@@ -41,7 +41,7 @@
 // submitN hands over n requests of fresh ids and lets the core take them up.
 func submitN(c *Core, f *fleet, from, n int) {
 	for i := range n {
-		c.Submit(&Request{ID: fmt.Sprint(from + i), Tenant: -1, Patience: 5 * time.Second, Slots: 1, Client: f})
+		c.Submit(&Request{ID: fmt.Sprint(from + i), Tenant: -1, Timeout: 5 * time.Second, Slots: 1, Client: f})
 	}
 	synctest.Wait()
 }
@@ -63,7 +63,7 @@
 		gen, err := book.Detach(time.Now(), "a")
 		require.NoError(t, err)
 		synctest.Wait()
-		require.Equal(t, gen, c.OverridesApplied(), "the core tells that it obeys")
+		require.Equal(t, gen, c.OverrideGeneration(), "the core tells that it obeys")
 
 		submitN(c, f, 0, 20)
 		require.NotEmpty(t, f.started)
@@ -72,7 +72,7 @@
 		// The table names it serving again, and whole: the ban holds.
 		c.UpdateMembers(balance.UpdateFull, regionsOf(2))
 		for _, attempt := range f.started {
-			c.Ended(attempt, balance.StatusOK, []byte("r"))
+			c.AttemptEnded(attempt, balance.StatusOK, []byte("r"))
 		}
 		f.started = nil
 		synctest.Wait()
@@ -84,7 +84,7 @@
 		require.Equal(t, gen, again, "a repeated detach changes nothing")
 
 		for _, attempt := range f.started {
-			c.Ended(attempt, balance.StatusOK, []byte("r"))
+			c.AttemptEnded(attempt, balance.StatusOK, []byte("r"))
 		}
 		f.started = nil
 		back := time.Now()
@@ -143,9 +143,9 @@
 			if i == 3 {
 				status = balance.StatusInvalid
 			}
-			attempt.Mark(Written)
-			attempt.Mark(Written) // once an attempt
-			c.Ended(attempt, status, []byte("r"))
+			attempt.RecordEvent(Written)
+			attempt.RecordEvent(Written) // once an attempt
+			c.AttemptEnded(attempt, status, []byte("r"))
 			synctest.Wait()
 		}
 		var left *Request
@@ -156,7 +156,7 @@
 			}
 		}
 		require.NotNil(t, left)
-		c.Leave(left)
+		c.CancelRequest(left)
 		synctest.Wait()
 		k := c.Counts()[0]
 		served, refused, failed := 0, 0, 0
@@ -170,7 +170,7 @@
 				failed++
 			}
 		}
-		require.Equal(t, ClassCounts{Served: int64(served), Refused: int64(refused), Failed: int64(failed), Written: 4}, k)
+		require.Equal(t, ClassCounts{Served: int64(served), Refused: int64(refused), Failed: int64(failed), AttemptsWritten: 4}, k)
 		require.Equal(t, 3, served)
 		require.Equal(t, 1, failed)
 	})
--- a/dispatch/patience_test.go
+++ b/dispatch/patience_test.go
@@ -35,7 +35,7 @@
 		synctest.Wait()
 		began := time.Now()
 		answered := &fleet{}
-		core.Submit(&Request{ID: "1", Tenant: -1, Patience: patience, Slots: 1, Client: answered})
+		core.Submit(&Request{ID: "1", Tenant: -1, Timeout: patience, Slots: 1, Client: answered})
 		time.Sleep(busy)
 		synctest.Wait()
 		require.Equal(t, []time.Duration{patience - busy}, p.left)
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -10,13 +10,13 @@
 // Leave comes first. What a hook refuses, and what comes while too many are open, is
 // answered here and sent nowhere.
 func (c *Core) Submit(request *Request) {
-	request.Asked = time.Now()
+	request.SubmittedAt = time.Now()
 	if len(c.phases) > 0 {
-		request.Wrote = &Delivery{}
+		request.Delivery = &Delivery{}
 	}
 	if c.hook != nil {
-		a := c.hook.Request(request)
-		request.Hooked = time.Since(request.Asked)
+		a := c.hook.OnRequest(request)
+		request.HookDuration = time.Since(request.SubmittedAt)
 		if a != nil {
 			c.tell(request, *a)
 			return
@@ -43,12 +43,12 @@
 		c.limitedLog.Report("id in use", nil, "id", "id", request.ID)
 		request.over = true
 		c.open.Add(-1)
-		c.tell(request, Answer{Verdict: Failed, Unfit: true, Reason: "a request of this id is open"})
+		c.tell(request, Answer{Verdict: Failed, InvalidRequest: true, Reason: "a request of this id is open"})
 		return
 	}
-	patience := request.Patience
+	patience := request.Timeout
 	if c.virtual == nil { // the client's patience runs from when it asked, also while the core was busy
-		patience -= time.Since(request.Asked)
+		patience -= time.Since(request.SubmittedAt)
 	}
 	limit := patience + overdue
 	if c.ends > 0 {
@@ -66,18 +66,18 @@
 	c.nextJob++
 	request.job, request.end = c.nextJob, c.now+patience
 	c.jobs[request.job] = request
-	c.observe(func(o Observer) { o.Began(request) })
+	c.observe(func(o Observer) { o.RequestStarted(request) })
 	request.guard = c.after(limit, func() {
 		if !request.over {
 			if c.now >= request.end {
 				c.log.Error("answer overdue", "id", request.ID)
 			}
-			c.answer(request, Answer{Verdict: Failed, Late: true, Reason: "deadline"})
+			c.answer(request, Answer{Verdict: Failed, TimedOut: true, Reason: "deadline"})
 			c.balancer.ClientGone(c.now, request.job)
 		}
 	})
 	c.balancer.SubmitJob(c.now, balance.Job{ID: request.job, Class: request.Class, Tenant: request.Tenant, Key: request.Key,
-		ClientTimeout: patience, ExpectedWork: request.Hint, Slots: request.Slots, Memory: request.Memory, PriorAttempt: request.Earlier})
+		ClientTimeout: patience, ExpectedWork: request.WorkHint, Slots: request.Slots, Memory: request.Memory, PriorAttempt: request.PriorAttempt})
 }
 
 // Drain tells that the process may be ended in so long. What comes once free has passed is
@@ -90,26 +90,26 @@
 	})
 }
 
-// Leave takes word that the client is gone: no answer is owed any more.
-func (c *Core) Leave(request *Request) {
+// CancelRequest takes word that the client is gone: no answer is owed any more.
+func (c *Core) CancelRequest(request *Request) {
 	c.post(func() {
 		if request.job == 0 {
 			request.over = true
 		}
 		if !request.over {
 			c.close(request)
-			c.observe(func(o Observer) { o.Left(request) })
+			c.observe(func(o Observer) { o.RequestCancelled(request) })
 			c.balancer.ClientGone(c.now, request.job)
 			c.forget(request)
 		}
 	})
 }
 
-// Written takes a front's word that an answer's last byte is written, or could not be. It is
+// AnswerWritten takes a front's word that an answer's last byte is written, or could not be. It is
 // for observers alone.
-func (c *Core) Written(request *Request, whole bool) {
-	if request.Wrote != nil {
-		request.Wrote.Set(whole)
+func (c *Core) AnswerWritten(request *Request, whole bool) {
+	if request.Delivery != nil {
+		request.Delivery.Record(whole)
 	}
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	c.close(request)
-	c.observe(func(o Observer) { o.Answered(request, a) })
+	c.observe(func(o Observer) { o.RequestAnswered(request, a) })
 	c.tell(request, a)
 	c.forget(request)
 }
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -12,8 +12,8 @@
 	Names map[balance.WorkerID]string
 }
 
-// ViewNames bounds the names in a View: the core makes no long list for one who watches.
-const ViewNames = 2000
+// MaxViewNames bounds the names in a View: the core makes no long list for one who watches.
+const MaxViewNames = 2000
 
 // View asks for the policy's view. It returns false where the core has ended, or is busy for so
 // long.
@@ -21,7 +21,7 @@
 	var v View
 	if !c.ask(within, func() {
 		v = View{c.balancer.View(c.now), map[balance.WorkerID]string{}}
-		for _, w := range v.Workers[:min(len(v.Workers), ViewNames)] {
+		for _, w := range v.Workers[:min(len(v.Workers), MaxViewNames)] {
 			v.Names[w.ID] = c.members[w.ID].Name
 		}
 	}) {
@@ -30,19 +30,19 @@
 	return v, true
 }
 
-// Hosts asks how many workers discovery lists, and how many of them the core avoids now.
+// WorkerCounts asks how many workers discovery lists, and how many of them the core avoids now.
 // It returns false where the core has ended, or is busy for so long.
-func (c *Core) Hosts(within time.Duration) (Hosts, bool) {
-	var h Hosts
+func (c *Core) WorkerCounts(within time.Duration) (WorkerCounts, bool) {
+	var h WorkerCounts
 	if !c.ask(within, func() {
 		h.Listed = len(c.members)
 		for _, w := range c.balancer.View(c.now).Workers {
 			if _, listed := c.members[w.ID]; listed && (!w.Serving || w.HeldFor > 0) {
-				h.Down++
+				h.Unavailable++
 			}
 		}
 	}) {
-		return Hosts{}, false
+		return WorkerCounts{}, false
 	}
 	return h, true
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,7 +158,7 @@
 // core makes a front's core, with the scripts and the telemetry that watch it.
 func (d *Daemon) core(ctx context.Context, front string, files []string, spans *telemetry.Telemetry,
 	log *slog.Logger, watching ...dispatch.Observer) (*dispatch.Core, error) {
-	o := dispatch.Options{Settings: *d.Config.Settings, Log: log, Observers: watching, Hand: d.hand}
+	o := dispatch.Options{Settings: *d.Config.Settings, Log: log, Observers: watching, Overrides: d.hand}
 	hooks, err := hook.Load(files, d.Config.Settings, d.Config.Names, log)
 	if err != nil {
 		return nil, err
@@ -220,7 +220,7 @@
 
 // start brings a core and its drivers to life, beginning with discovery as known.
 func (d *Daemon) start(ctx context.Context, core *dispatch.Core, workers interface {
-	dispatch.Workers
+	dispatch.Driver
 	Run(context.Context)
 }, discovery string, known []byte) (*platform.Discovery, error) {
 	table := platform.NewDiscovery(core, d.Log, d.Config.Names, d.Dial, discovery)
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -24,7 +24,7 @@
 	cores := d.cores
 	var asking sync.Mutex // one scrape at a time asks the cores; the others take the last counts
 	var mu sync.Mutex     // guards last
-	last := make([]dispatch.Hosts, len(cores))
+	last := make([]dispatch.WorkerCounts, len(cores))
 	figures := func() ops.Figures {
 		f := ops.Figures{}
 		for _, c := range d.Config.Settings.Classes {
@@ -35,13 +35,13 @@
 				f.Classes[i].Success += k.Served
 				f.Classes[i].Busy += k.Refused
 				f.Classes[i].Failure += k.Failed
-				f.Classes[i].BackendCalls += k.Written
+				f.Classes[i].BackendCalls += k.AttemptsWritten
 			}
 			f.Inflight += core.Open()
 		}
 		if asking.TryLock() {
 			for i, core := range cores {
-				if h, ok := core.Hosts(hostsWithin); ok {
+				if h, ok := core.WorkerCounts(hostsWithin); ok {
 					mu.Lock()
 					last[i] = h
 					mu.Unlock()
@@ -53,14 +53,14 @@
 		defer mu.Unlock()
 		for _, h := range last {
 			f.HostsListed += h.Listed
-			f.HostsDown += h.Down
+			f.HostsDown += h.Unavailable
 		}
 		return f
 	}
 	heard := func() uint64 {
 		least := uint64(math.MaxUint64)
 		for _, c := range cores {
-			least = min(least, c.OverridesApplied())
+			least = min(least, c.OverrideGeneration())
 		}
 		return least
 	}
--- a/internal/gearman/answer.go
+++ b/internal/gearman/answer.go
@@ -24,7 +24,7 @@
 	}
 	j.request = nil
 	var once sync.Once
-	d := delivery{final: true, told: func(whole bool) { once.Do(func() { s.core.Written(t.request, whole) }) }}
+	d := delivery{final: true, told: func(whole bool) { once.Do(func() { s.core.AnswerWritten(t.request, whole) }) }}
 	d.plain, d.full = j.answer(a)
 	background := j.entry.Background
 	if background && a.Verdict != dispatch.Served {
--- a/internal/gearman/background.go
+++ b/internal/gearman/background.go
@@ -102,7 +102,7 @@
 	case resubmit:
 		s.core.Submit(request)
 	case request != nil:
-		s.core.Leave(request)
+		s.core.CancelRequest(request)
 	case promote:
 		s.promote(j)
 	}
--- a/internal/gearman/job.go
+++ b/internal/gearman/job.go
@@ -118,7 +118,7 @@
 
 type watch struct{}
 
-func (watch) Began(request *dispatch.Request) {
+func (watch) RequestStarted(request *dispatch.Request) {
 	if j, ok := request.Payload.(*job); ok {
 		j.mu.Lock()
 		j.began, j.left = time.Now(), false
@@ -126,9 +126,9 @@
 	}
 }
 
-// Sent tells how long a foreground job has waited for room, on which the pace of background
+// AttemptSent tells how long a foreground job has waited for room, on which the pace of background
 // jobs hangs.
-func (watch) Sent(t *dispatch.Attempt) {
+func (watch) AttemptSent(t *dispatch.Attempt) {
 	j, ok := t.Request.Payload.(*job)
 	if !ok || j.server.keeper == nil {
 		return
@@ -142,7 +142,7 @@
 	}
 }
 
-func (watch) Withdrawn(*dispatch.Attempt)                            {}
-func (watch) Ended(*dispatch.Attempt, balance.Status, time.Duration) {}
-func (watch) Answered(*dispatch.Request, dispatch.Answer)            {}
-func (watch) Left(*dispatch.Request)                                 {}
+func (watch) AttemptCancelled(*dispatch.Attempt)                            {}
+func (watch) AttemptEnded(*dispatch.Attempt, balance.Status, time.Duration) {}
+func (watch) RequestAnswered(*dispatch.Request, dispatch.Answer)            {}
+func (watch) RequestCancelled(*dispatch.Request)                            {}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -196,7 +196,7 @@
 	}
 	s.mu.Unlock()
 	for _, request := range out {
-		s.core.Leave(request)
+		s.core.CancelRequest(request)
 	}
 }
 
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -36,7 +36,7 @@
 	j := s.reopen(o)
 	j.offers = max(j.offers, o.State.Offers+o.State.Sends) // ids that were in use before a restart are not used again
 	request := s.request(j, s.file.Functions[j.function])
-	request.Earlier = earlier
+	request.PriorAttempt = earlier
 	s.mu.Unlock()
 	s.core.Submit(request)
 }
@@ -53,7 +53,7 @@
 	}
 	s.mu.Unlock()
 	if request != nil {
-		s.core.Leave(request)
+		s.core.CancelRequest(request)
 	}
 }
 
@@ -106,7 +106,7 @@
 		return recovery.Served
 	case a.Verdict == dispatch.Refused:
 		return recovery.WasRefused
-	case a.Unfit:
+	case a.InvalidRequest:
 		return recovery.WasUnfit
 	}
 	return recovery.HasFailed
@@ -132,7 +132,7 @@
 	}
 	s.mu.Unlock()
 	if request != nil {
-		s.core.Leave(request)
+		s.core.CancelRequest(request)
 	}
 	if !background {
 		return nil
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -223,7 +223,7 @@
 	if j.offers > 1 {
 		id += "#" + strconv.Itoa(j.offers)
 	}
-	j.request = &dispatch.Request{ID: id, Class: f.Class, Tenant: f.Tenant, Patience: f.Deadline, Hint: f.Cost, Slots: 1, Payload: j}
+	j.request = &dispatch.Request{ID: id, Class: f.Class, Tenant: f.Tenant, Timeout: f.Deadline, WorkHint: f.Cost, Slots: 1, Payload: j}
 	j.request.Client = &submission{j, j.request}
 	return j.request
 }
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -72,7 +72,7 @@
 		delete(r.attempts, t)
 		r.mu.Unlock()
 		t.Request.Payload.(*job).ended(status)
-		r.core.Ended(t, status, result)
+		r.core.AttemptEnded(t, status, result)
 	}()
 }
 
@@ -118,13 +118,13 @@
 		}
 		return balance.StatusNotSent, nil
 	}
-	t.Mark(dispatch.Connected)
+	t.RecordEvent(dispatch.Connected)
 	data := Request(SubmitJob, j.function, j.unique, j.data)
 	if n, err := link.Write(conn, data); n < len(data) {
 		r.logAttempt(t, "request cut short", err)
 		return balance.StatusUnreachable, nil
 	}
-	t.Mark(dispatch.Written)
+	t.RecordEvent(dispatch.Written)
 	var status balance.Status
 	var result []byte
 	status, result, keep = r.receive(ctx, t, conn)
@@ -134,7 +134,7 @@
 // receive takes a job server's packets up to the job's end. keep tells whether the connection may be
 // used again.
 func (r *Workers) receive(ctx context.Context, t *dispatch.Attempt, conn *link.Conn[Packet]) (status balance.Status, result []byte, keep bool) {
-	x := exchange{started: func() { r.core.Started(t) }, progress: func(s float64) { r.core.Progress(t, s) }}
+	x := exchange{started: func() { r.core.AttemptStarted(t) }, progress: func(s float64) { r.core.AttemptProgress(t, s) }}
 	for {
 		p, err := conn.Receive(ctx)
 		if err != nil {
@@ -146,7 +146,7 @@
 		}
 		status, over, err := x.take(p)
 		if x.handle != "" {
-			t.Mark(dispatch.Accepted)
+			t.RecordEvent(dispatch.Accepted)
 		}
 		if err != nil {
 			r.log.Warn("worker answered", "worker", t.Worker.Name, "id", t.Request.ID, "err", err)
--- a/internal/hook/hook.go
+++ b/internal/hook/hook.go
@@ -125,8 +125,8 @@
 // Failed is how many calls have failed.
 func (h *Hooks) Failed() int64 { return h.failed.Load() }
 
-// Request asks on_transaction of each script.
-func (h *Hooks) Request(tx *dispatch.Request) *dispatch.Answer {
+// OnRequest asks on_transaction of each script.
+func (h *Hooks) OnRequest(tx *dispatch.Request) *dispatch.Answer {
 	for _, s := range h.scripts {
 		if s.transaction == nil {
 			continue
@@ -154,7 +154,7 @@
 	return starlarkstruct.FromStringDict(starlark.String("tx"), starlark.StringDict{
 		"id": starlark.String(tx.ID), "class_name": starlark.String(h.settings.Classes[tx.Class].Name),
 		"tenant": tenant, "key": starlark.String(tx.Key),
-		"patience_s": starlark.Float(tx.Patience.Seconds()), "cost_s": starlark.Float(tx.Hint.Seconds())})
+		"patience_s": starlark.Float(tx.Timeout.Seconds()), "cost_s": starlark.Float(tx.WorkHint.Seconds())})
 }
 
 // obey does what a script returned, all of it or, if any of it makes no sense, nothing.
@@ -163,7 +163,7 @@
 	if !ok {
 		return nil, fmt.Errorf("returned %s, not a dict or None", said.Type())
 	}
-	tenant, hint := tx.Tenant, tx.Hint
+	tenant, hint := tx.Tenant, tx.WorkHint
 	var refused *dispatch.Answer
 	var back time.Duration
 	for _, item := range d.Items() {
@@ -191,15 +191,15 @@
 	} else if back > 0 {
 		return nil, errors.New("retry_after_s without refuse")
 	}
-	tx.Tenant, tx.Hint = tenant, hint
+	tx.Tenant, tx.WorkHint = tenant, hint
 	return refused, nil
 }
 
-// Ended hands the end of an attempt to on_outcome, on a goroutine of its own.
-func (h *Hooks) Ended(t *dispatch.Attempt, s balance.Status, elapsed time.Duration) {
+// AttemptEnded hands the end of an attempt to on_outcome, on a goroutine of its own.
+func (h *Hooks) AttemptEnded(t *dispatch.Attempt, s balance.Status, elapsed time.Duration) {
 	task := starlarkstruct.FromStringDict(starlark.String("task"), starlark.StringDict{
 		"id": starlark.String(t.Request.ID), "class_name": starlark.String(h.settings.Classes[t.Request.Class].Name),
-		"region": starlark.String(t.Worker.Name), "number": starlark.MakeInt(t.No),
+		"region": starlark.String(t.Worker.Name), "number": starlark.MakeInt(t.Index),
 		"status": starlark.String(s.String()), "elapsed_s": starlark.Float(elapsed.Seconds())})
 	select {
 	case h.outcomes <- task:
@@ -226,17 +226,17 @@
 	}
 }
 
-// Began does nothing: scripts are told of outcomes alone.
-func (h *Hooks) Began(*dispatch.Request) {}
+// RequestStarted does nothing: scripts are told of outcomes alone.
+func (h *Hooks) RequestStarted(*dispatch.Request) {}
 
-// Sent does nothing.
-func (h *Hooks) Sent(*dispatch.Attempt) {}
+// AttemptSent does nothing.
+func (h *Hooks) AttemptSent(*dispatch.Attempt) {}
 
-// Withdrawn does nothing.
-func (h *Hooks) Withdrawn(*dispatch.Attempt) {}
+// AttemptCancelled does nothing.
+func (h *Hooks) AttemptCancelled(*dispatch.Attempt) {}
 
-// Answered does nothing.
-func (h *Hooks) Answered(*dispatch.Request, dispatch.Answer) {}
+// RequestAnswered does nothing.
+func (h *Hooks) RequestAnswered(*dispatch.Request, dispatch.Answer) {}
 
-// Left does nothing.
-func (h *Hooks) Left(*dispatch.Request) {}
+// RequestCancelled does nothing.
+func (h *Hooks) RequestCancelled(*dispatch.Request) {}
--- a/internal/hook/hook_test.go
+++ b/internal/hook/hook_test.go
@@ -42,17 +42,17 @@
 	h, log := load(t, "../../example/hooks.star")
 	tx := &dispatch.Request{ID: "1", Class: 0, Tenant: 1}
 	require.Equal(t, &dispatch.Answer{Verdict: dispatch.Refused, Reason: "pricing of souss-actions is closed",
-		RetryAfter: 1500 * time.Millisecond}, h.Request(tx))
+		RetryAfter: 1500 * time.Millisecond}, h.OnRequest(tx))
 	tx = &dispatch.Request{ID: "2", Class: 1, Tenant: -1}
-	require.Nil(t, h.Request(tx))
+	require.Nil(t, h.OnRequest(tx))
 	require.Equal(t, 0, tx.Tenant)
 	tx = &dispatch.Request{ID: "3", Class: 0, Tenant: 0}
-	require.Nil(t, h.Request(tx))
-	require.Equal(t, 400*time.Millisecond, tx.Hint)
+	require.Nil(t, h.OnRequest(tx))
+	require.Equal(t, 400*time.Millisecond, tx.WorkHint)
 	synctest.Test(t, func(t *testing.T) {
 		h.outcomes = make(chan starlark.Value, 1)
 		go h.Run(t.Context())
-		h.Ended(&dispatch.Attempt{Request: tx, Worker: dispatch.Worker{Name: "s-1"}}, balance.StatusReset, time.Second)
+		h.AttemptEnded(&dispatch.Attempt{Request: tx, Worker: dispatch.Worker{Name: "s-1"}}, balance.StatusReset, time.Second)
 		synctest.Wait()
 	})
 	require.Contains(t, log.String(), "region s-1 lost 3 after 1.0 s")
@@ -73,9 +73,9 @@
 		`return {"retry_after_s": 3}`:                      "without refuse",
 	} {
 		h, log := load(t, file(t, "def on_transaction(tx):\n    "+text+"\n"))
-		tx := dispatch.Request{ID: "1", Tenant: -1, Hint: time.Second}
+		tx := dispatch.Request{ID: "1", Tenant: -1, WorkHint: time.Second}
 		asked := tx
-		require.Nil(t, h.Request(&asked), text)
+		require.Nil(t, h.OnRequest(&asked), text)
 		require.Equal(t, tx, asked, text)
 		require.EqualValues(t, 1, h.Failed(), text)
 		require.Contains(t, log.String(), why, text)
@@ -105,7 +105,7 @@
 func TestSlowOutcomesAreDropped(t *testing.T) {
 	h, log := load(t, file(t, "def on_outcome(task): pass"))
 	for range backlog + 5 {
-		h.Ended(&dispatch.Attempt{Request: &dispatch.Request{}}, balance.StatusOK, 0)
+		h.AttemptEnded(&dispatch.Attempt{Request: &dispatch.Request{}}, balance.StatusOK, 0)
 	}
 	require.EqualValues(t, 5, h.dropped.Load())
 	require.Equal(t, 1, strings.Count(log.String(), "hook too slow"))
--- a/internal/lab/emulate/dispatcher.go
+++ b/internal/lab/emulate/dispatcher.go
@@ -78,13 +78,13 @@
 	}
 	delete(d.works, j.task)
 	d.w.rules.outcome(j, s)
-	d.core.Ended(j.task, s, []byte("r"))
+	d.core.AttemptEnded(j.task, s, []byte("r"))
 	d.settle()
 }
 
 func (d *dispatcher) started(j *work) {
 	if d.works[j.task] != nil {
-		d.core.Started(j.task)
+		d.core.AttemptStarted(j.task)
 		d.settle()
 	}
 }
@@ -101,7 +101,7 @@
 func (d *dispatcher) ask() {
 	d.w.after(2*d.w.s.Network, func() {
 		if d.w.out {
-			d.core.UpdateFailed()
+			d.core.DiscoveryFailed()
 		} else {
 			d.list(balance.UpdateFull)
 		}
--- a/internal/lab/emulate/failures.go
+++ b/internal/lab/emulate/failures.go
@@ -27,7 +27,7 @@
 	case Outage:
 		w.out = true
 		for _, d := range w.cores {
-			d.core.UpdateFailed()
+			d.core.DiscoveryFailed()
 			d.settle()
 		}
 		w.after(f.For, func() { w.out = false; w.changed() })
--- a/internal/lab/emulate/play.go
+++ b/internal/lab/emulate/play.go
@@ -90,7 +90,7 @@
 
 // add sets up a node of the scenario.
 func (w *World) add(x NodeSpec) *node {
-	n := &node{NodeSpec: x, w: w, id: dispatch.WorkerIDOf(x.Name), slow: 1}
+	n := &node{NodeSpec: x, w: w, id: dispatch.WorkerIDFromName(x.Name), slow: 1}
 	w.nodes, w.byID[n.id] = append(w.nodes, n), n
 	return n
 }
@@ -176,7 +176,7 @@
 	d := w.cores[w.rng.IntN(len(w.cores))]
 	c := w.s.Classes[r.class]
 	r.core = d
-	r.tx = &dispatch.Request{ID: fmt.Sprint("r", w.jobs), Class: r.class, Tenant: -1, Key: r.key, Patience: c.Deadline, Hint: time.Duration(r.work * 1e9),
+	r.tx = &dispatch.Request{ID: fmt.Sprint("r", w.jobs), Class: r.class, Tenant: -1, Key: r.key, Timeout: c.Deadline, WorkHint: time.Duration(r.work * 1e9),
 		Slots: 1, Payload: r, Client: r}
 	at := w.now
 	w.after(w.s.Network, func() {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -89,7 +89,7 @@
 	core.Connect(s.workers, noDiscovery{})
 	go core.Run(t.Context())
 	s.list(balance.Serving)
-	core.Submit(&dispatch.Request{ID: "r1", Tenant: -1, Patience: time.Minute, Slots: 1, Client: noAnswer{},
+	core.Submit(&dispatch.Request{ID: "r1", Tenant: -1, Timeout: time.Minute, Slots: 1, Client: noAnswer{},
 		Payload: &forwarded{method: "POST", uri: "/price-read", host: "x", headers: [][2]string{{headerID, "r1"}}}})
 	return s
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -191,7 +191,7 @@
 // ones are more calls.
 func (t *Discovery) failed(err error) {
 	t.log.Warn("discovery unreachable", "err", err)
-	t.core.UpdateFailed()
+	t.core.DiscoveryFailed()
 	if t.short<<t.backoff < t.long {
 		t.backoff++
 	}
@@ -337,7 +337,7 @@
 			return false, nil, fmt.Errorf("servers: id %.40q, state %.40q", name, state)
 		}
 		list = append(list, dispatch.Worker{Name: name, Addr: string(e.GetStringBytes("addr")), Member: balance.Member{
-			ID: dispatch.WorkerIDOf(name), State: condition, Weight: e.GetFloat64("weight"),
+			ID: dispatch.WorkerIDFromName(name), State: condition, Weight: e.GetFloat64("weight"),
 			Kind: named(t.names.Kind, e.GetStringBytes("kind")), Zone: named(t.names.Zone, e.GetStringBytes("zone")),
 			Cell: e.GetInt("cell"), StartedAt: time.Duration(e.GetFloat64("started_ms") * 1e6)}})
 	}
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -61,8 +61,8 @@
 	if c.Idempotency == balance.Deduplicated && h.Get(headerOnceKey) == "" {
 		return nil, fmt.Errorf("%s: missing for class %s", headerOnceKey, c.Name)
 	}
-	request := &dispatch.Request{ID: id, Class: class, Tenant: -1, Patience: c.Deadline, Slots: 1,
-		Trace: h.Get(headerTrace), State: h.Get("Tracestate")}
+	request := &dispatch.Request{ID: id, Class: class, Tenant: -1, Timeout: c.Deadline, Slots: 1,
+		TraceParent: h.Get(headerTrace), TraceState: h.Get("Tracestate")}
 	if owner := h.Get(headerOwner); owner != "" {
 		if t, ok := names.Tenant[owner]; ok {
 			request.Tenant = t
@@ -74,7 +74,7 @@
 	}
 	request.Key = query.Get("k")
 	if text := h.Get(headerDeadline); text != "" {
-		if request.Patience, err = parseDeadline(text); err != nil {
+		if request.Timeout, err = parseDeadline(text); err != nil {
 			return nil, fmt.Errorf("%s: %w", headerDeadline, err)
 		}
 	}
@@ -83,7 +83,7 @@
 		if err != nil || !(us >= 0 && us < 1e13) {
 			return nil, fmt.Errorf("%s: not a number of microseconds: %.40q", headerCost, text)
 		}
-		request.Hint = time.Duration(us * 1e3)
+		request.WorkHint = time.Duration(us * 1e3)
 	}
 	if err := readExtra(h.Get(headerExtra), request); err != nil {
 		return nil, err
@@ -179,9 +179,9 @@
 		return http.StatusOK
 	case a.Verdict == dispatch.Refused:
 		return http.StatusServiceUnavailable
-	case a.Unfit:
+	case a.InvalidRequest:
 		return http.StatusBadRequest
-	case a.Late:
+	case a.TimedOut:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusInternalServerError
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -209,14 +209,14 @@
 		select {
 		case a := <-t.answers:
 			goes := t.final(m, a)
-			t.core.Written(request, t.wrote)
+			t.core.AnswerWritten(request, t.wrote)
 			return goes
 		case <-ended:
 			if isMalformed(t.err) { // the client is still there and is owed this answer first
 				ended = nil
 				continue
 			}
-			t.core.Leave(request)
+			t.core.CancelRequest(request)
 			return false
 		}
 	}
@@ -236,7 +236,7 @@
 	if a.Verdict != dispatch.Served {
 		body = []byte(a.Reason + "\n")
 	}
-	last := m.Close || a.Unfit || t.server.Leaving() && !t.Waiting()
+	last := m.Close || a.InvalidRequest || t.server.Leaving() && !t.Waiting()
 	return t.answer(statusOf(a), body, a.RetryAfter, last)
 }
 
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -95,15 +95,15 @@
 		return
 	}
 	// A write cut short proves that the worker never had the whole request.
-	c.attempt.Mark(dispatch.Connected)
-	data := q.encode(c.attempt.Remaining(), c.attempt.Trace)
+	c.attempt.RecordEvent(dispatch.Connected)
+	data := q.encode(c.attempt.Remaining(), c.attempt.TraceParent)
 	if n, err := link.Write(conn, data); n < len(data) {
 		_ = conn.Close()
 		r.logAttempt(c, "request cut short", err)
 		r.end(c, balance.StatusUnreachable, nil)
 		return
 	}
-	c.attempt.Mark(dispatch.Written)
+	c.attempt.RecordEvent(dispatch.Written)
 	m, err := conn.Receive(c.ctx)
 	if err != nil {
 		_ = conn.Close()
@@ -145,7 +145,7 @@
 func (r *Workers) answered(c *call, response *http.Response) {
 	switch code := response.StatusCode; {
 	case code == http.StatusAccepted:
-		c.attempt.Mark(dispatch.Accepted)
+		c.attempt.RecordEvent(dispatch.Accepted)
 		r.mu.Lock()
 		c.taken = true
 		gaveUp := c.gaveUp
@@ -202,7 +202,7 @@
 // end reports what became of an attempt and forgets it.
 func (r *Workers) end(c *call, s balance.Status, result []byte) {
 	r.forget(c)
-	r.core.Ended(c.attempt, s, result)
+	r.core.AttemptEnded(c.attempt, s, result)
 }
 
 func (r *Workers) forget(c *call) {
@@ -307,7 +307,7 @@
 func (r *Workers) Event(id, from, state string, share float64, result []byte) (known bool, err error) {
 	r.mu.Lock()
 	c := r.calls[callKey{id, from}]
-	ambiguous := c != nil && c.attempt.Again && !c.taken
+	ambiguous := c != nil && c.attempt.SameWorker && !c.taken
 	r.mu.Unlock()
 	status, ends := ends[state]
 	switch {
@@ -323,9 +323,9 @@
 		// hold the connection and its goroutine for ever.
 		time.AfterFunc(answerWait, c.stop)
 	case state == "started":
-		r.core.Started(c.attempt)
+		r.core.AttemptStarted(c.attempt)
 	default:
-		r.core.Progress(c.attempt, share)
+		r.core.AttemptProgress(c.attempt, share)
 	}
 	return true, nil
 }
--- a/internal/telemetry/record.go
+++ b/internal/telemetry/record.go
@@ -72,21 +72,21 @@
 	frontOnly metric.MeasurementOption
 }
 
-// Began opens a record.
-func (o *Observer) Began(tx *dispatch.Request) {
+// RequestStarted opens a record.
+func (o *Observer) RequestStarted(tx *dispatch.Request) {
 	now := time.Now()
 	if !o.t.reserve(recordBytes) {
 		o.open[tx] = &record{bare: true}
 		return
 	}
-	r := &record{wrote: tx.Wrote, id: tx.ID, trace: tx.Trace, state: tx.State, class: tx.Class, tenant: tx.Tenant, asked: tx.Asked, hooked: tx.Hooked,
+	r := &record{wrote: tx.Delivery, id: tx.ID, trace: tx.TraceParent, state: tx.TraceState, class: tx.Class, tenant: tx.Tenant, asked: tx.SubmittedAt, hooked: tx.HookDuration,
 		began: now, bytes: recordBytes}
 	if r.asked.IsZero() {
 		r.asked = now
 	}
 	parent := trace.SpanContext{}
-	if tx.Trace != "" {
-		parent = remote(tx.Trace, tx.State)
+	if tx.TraceParent != "" {
+		parent = remote(tx.TraceParent, tx.TraceState)
 	}
 	r.ids = newIDs(parent)
 	o.open[tx] = r
@@ -110,15 +110,15 @@
 	return trace.NewSpanContext(c)
 }
 
-// Sent notes a routed task, and names its span to the region.
-func (o *Observer) Sent(t *dispatch.Attempt) {
+// AttemptSent notes a routed task, and names its span to the region.
+func (o *Observer) AttemptSent(t *dispatch.Attempt) {
 	r := o.open[t.Request]
 	if r == nil || r.bare {
 		return
 	}
 	o.t.take(taskBytes) // it is small, and a trace without one of its tasks is worth nothing
 	r.bytes += taskBytes
-	k := &taskRecord{task: t, no: t.No, region: t.Worker.Name, zone: t.Worker.Zone, kind: t.Worker.Kind, ids: newIDs(r.ids), sent: time.Now(),
+	k := &taskRecord{task: t, no: t.Index, region: t.Worker.Name, zone: t.Worker.Zone, kind: t.Worker.Kind, ids: newIDs(r.ids), sent: time.Now(),
 		copyOf: -1, retryOf: -1}
 	for i, p := range r.tasks {
 		switch {
@@ -139,7 +139,7 @@
 	b = hex.AppendEncode(b, id[:])
 	b = append(b, '-')
 	b = hex.AppendEncode(b, span[:])
-	t.Trace = string(append(b, "-01"...))
+	t.TraceParent = string(append(b, "-01"...))
 }
 
 func (o *Observer) find(t *dispatch.Attempt) (*record, *taskRecord) {
@@ -154,42 +154,42 @@
 	return r, nil
 }
 
-// Started notes a region's word that it has begun.
-func (o *Observer) Started(t *dispatch.Attempt) {
+// AttemptStarted notes a region's word that it has begun.
+func (o *Observer) AttemptStarted(t *dispatch.Attempt) {
 	if _, k := o.find(t); k != nil && k.started.IsZero() {
 		k.started = time.Now()
 	}
 }
 
-// Withdrawn notes that a task is given up.
-func (o *Observer) Withdrawn(t *dispatch.Attempt) {
+// AttemptCancelled notes that a task is given up.
+func (o *Observer) AttemptCancelled(t *dispatch.Attempt) {
 	if _, k := o.find(t); k != nil {
 		k.withdrawn = time.Now()
 	}
 }
 
-// Ended notes a task's outcome.
-func (o *Observer) Ended(t *dispatch.Attempt, status balance.Status, _ time.Duration) {
+// AttemptEnded notes a task's outcome.
+func (o *Observer) AttemptEnded(t *dispatch.Attempt, status balance.Status, _ time.Duration) {
 	r, k := o.find(t)
 	if k == nil {
 		return
 	}
 	k.ended, k.status, k.task = time.Now(), status, nil
 	for m := range k.marks {
-		k.marks[m] = t.At(dispatch.Mark(m))
+		k.marks[m] = t.EventTime(dispatch.AttemptEvent(m))
 	}
 	r.out--
 	o.perhaps(t.Request, r)
 }
 
-// Answered notes the final answer.
-func (o *Observer) Answered(tx *dispatch.Request, a dispatch.Answer) {
+// RequestAnswered notes the final answer.
+func (o *Observer) RequestAnswered(tx *dispatch.Request, a dispatch.Answer) {
 	a.Result = nil // it may be large, and says nothing here
 	o.over(tx, a, false)
 }
 
-// Left notes that the client is gone.
-func (o *Observer) Left(tx *dispatch.Request) { o.over(tx, dispatch.Answer{}, true) }
+// RequestCancelled notes that the client is gone.
+func (o *Observer) RequestCancelled(tx *dispatch.Request) { o.over(tx, dispatch.Answer{}, true) }
 
 func (o *Observer) over(tx *dispatch.Request, a dispatch.Answer, left bool) {
 	r := o.open[tx]
@@ -200,15 +200,15 @@
 	o.t.dead(tx.ID)
 	if r.bare {
 		delete(o.open, tx)
-		o.t.bare(bare{o, tx.Class, a, left, now.Sub(tx.Asked)})
+		o.t.bare(bare{o, tx.Class, a, left, now.Sub(tx.SubmittedAt)})
 		return
 	}
 	r.answered, r.answer, r.left = now, a, left
 	o.perhaps(tx, r)
 }
 
-// Drained counts a region that is told to drain, or gone.
-func (o *Observer) Drained(dispatch.Worker) { o.t.drains.Add(background, 1, o.frontOnly) }
+// WorkerDrained counts a region that is told to drain, or gone.
+func (o *Observer) WorkerDrained(dispatch.Worker) { o.t.drains.Add(background, 1, o.frontOnly) }
 
 // perhaps hands a record on once the core has nothing more to tell.
 func (o *Observer) perhaps(tx *dispatch.Request, r *record) {
@@ -224,7 +224,7 @@
 		r.written = r.answered
 		return true
 	}
-	at, whole, ok := r.wrote.Get()
+	at, whole, ok := r.wrote.Time()
 	if r.written = at; !ok {
 		r.written = r.answered
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -64,30 +64,30 @@
 
 // follow is one transaction with a copy whose loser ends last.
 func follow(o *Observer, wait time.Duration) {
-	tx := &dispatch.Request{ID: "9b1f03aa5c7e2d41", Tenant: 0, Trace: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", Asked: time.Now(), Wrote: &dispatch.Delivery{}}
-	a, b, c := &dispatch.Attempt{Request: tx}, &dispatch.Attempt{Request: tx, No: 1}, &dispatch.Attempt{Request: tx, No: 2}
-	o.Began(tx)
+	tx := &dispatch.Request{ID: "9b1f03aa5c7e2d41", Tenant: 0, TraceParent: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}}
+	a, b, c := &dispatch.Attempt{Request: tx}, &dispatch.Attempt{Request: tx, Index: 1}, &dispatch.Attempt{Request: tx, Index: 2}
+	o.RequestStarted(tx)
 	time.Sleep(wait)
-	o.Sent(a)
-	a.Mark(dispatch.Connected)
-	a.Mark(dispatch.Written)
+	o.AttemptSent(a)
+	a.RecordEvent(dispatch.Connected)
+	a.RecordEvent(dispatch.Written)
 	time.Sleep(wait)
-	o.Sent(b)
-	b.Mark(dispatch.Connected)
-	b.Mark(dispatch.Written)
-	b.Mark(dispatch.Accepted)
+	o.AttemptSent(b)
+	b.RecordEvent(dispatch.Connected)
+	b.RecordEvent(dispatch.Written)
+	b.RecordEvent(dispatch.Accepted)
 	time.Sleep(wait)
-	o.Started(b)
-	o.Ended(b, balance.StatusReset, 0)
-	o.Sent(c)
+	o.AttemptStarted(b)
+	o.AttemptEnded(b, balance.StatusReset, 0)
+	o.AttemptSent(c)
 	time.Sleep(wait)
-	c.Mark(dispatch.Reported)
-	o.Ended(c, balance.StatusOK, 0)
-	o.Answered(tx, dispatch.Answer{})
-	o.Withdrawn(a)
+	c.RecordEvent(dispatch.Reported)
+	o.AttemptEnded(c, balance.StatusOK, 0)
+	o.RequestAnswered(tx, dispatch.Answer{})
+	o.AttemptCancelled(a)
 	time.Sleep(wait)
-	tx.Wrote.Set(true)
-	o.Ended(a, balance.StatusCancelled, 0)
+	tx.Delivery.Record(true)
+	o.AttemptEnded(a, balance.StatusCancelled, 0)
 }
 
 // Three attempts on three regions whose first ends last are one request: whole, linked, and without
@@ -122,19 +122,19 @@
 func TestEnds(t *testing.T) {
 	tel, c := start(t, collector.Script{}, nil)
 	o := tel.Observe("http", settings)
-	left := &dispatch.Request{ID: "left", Asked: time.Now(), Wrote: &dispatch.Delivery{}}
+	left := &dispatch.Request{ID: "left", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}}
 	k := &dispatch.Attempt{Request: left}
-	o.Began(left)
-	o.Sent(k)
-	o.Left(left)
+	o.RequestStarted(left)
+	o.AttemptSent(k)
+	o.RequestCancelled(left)
 	require.Len(t, o.open, 1, "its task is still out")
-	o.Ended(k, balance.StatusCancelled, 0)
+	o.AttemptEnded(k, balance.StatusCancelled, 0)
 	require.Empty(t, o.open)
-	silent := &dispatch.Request{ID: "silent", Asked: time.Now(), Wrote: &dispatch.Delivery{}}
-	o.Began(silent)
-	o.Answered(silent, dispatch.Answer{Verdict: dispatch.Refused, Reason: "no room"})
+	silent := &dispatch.Request{ID: "silent", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}}
+	o.RequestStarted(silent)
+	o.RequestAnswered(silent, dispatch.Answer{Verdict: dispatch.Refused, Reason: "no room"})
 	require.Empty(t, o.open)
-	o.Began(&dispatch.Request{ID: "open", Asked: time.Now(), Wrote: &dispatch.Delivery{}})
+	o.RequestStarted(&dispatch.Request{ID: "open", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}})
 	require.NoError(t, tel.Close())
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,11 +151,11 @@
 	tel, c := start(t, collector.Script{}, nil)
 	log := slog.New(tel.Handler(slog.DiscardHandler)).With("front", "http")
 	o := tel.Observe("http", settings)
-	tx := &dispatch.Request{ID: "7", Asked: time.Now(), Wrote: &dispatch.Delivery{}, Trace: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"}
-	o.Began(tx)
+	tx := &dispatch.Request{ID: "7", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}, TraceParent: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"}
+	o.RequestStarted(tx)
 	log.Info("region reset", "region", "a", "id", "7")
 	log.Info("service table", "version", 3)
-	o.Left(tx)
+	o.RequestCancelled(tx)
 	log.Info("region answered", "id", "7")
 	require.NoError(t, tel.Close())
 	c.mu.Lock()
@@ -226,15 +226,15 @@
 				o := tel.Observe("http", settings)
 				b.ReportAllocs()
 				for b.Loop() {
-					tx := &dispatch.Request{ID: "9b1f03aa5c7e2d41", Asked: time.Now(), Wrote: &dispatch.Delivery{}}
+					tx := &dispatch.Request{ID: "9b1f03aa5c7e2d41", SubmittedAt: time.Now(), Delivery: &dispatch.Delivery{}}
 					k := &dispatch.Attempt{Request: tx}
-					o.Began(tx)
-					o.Sent(k)
-					o.Started(k)
-					k.Mark(dispatch.Reported)
-					o.Ended(k, balance.StatusOK, 0)
-					o.Answered(tx, dispatch.Answer{})
-					tx.Wrote.Set(true)
+					o.RequestStarted(tx)
+					o.AttemptSent(k)
+					o.AttemptStarted(k)
+					k.RecordEvent(dispatch.Reported)
+					o.AttemptEnded(k, balance.StatusOK, 0)
+					o.RequestAnswered(tx, dispatch.Answer{})
+					tx.Delivery.Record(true)
 				}
 				b.StopTimer()
 				_ = tel.Close()
