--- a/cmd/tinroute/crash_test.go
+++ b/cmd/tinroute/crash_test.go
@@ -49,7 +49,7 @@
 
 func (f *crashFleet) serve(region int, c net.Conn) {
 	defer func() { _ = c.Close() }()
-	_ = link.Read(c, gearman.NewRequestFramer(), func(p *gearman.Packet) bool {
+	_ = link.ReadMessages(c, gearman.NewRequestFramer(), func(p *gearman.Packet) bool {
 		args, err := p.Args(3)
 		if err != nil {
 			return false
@@ -121,7 +121,7 @@
 					return function + "/" + unique
 				}
 				key := submit()
-				_ = link.Read(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
+				_ = link.ReadMessages(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
 					if p.Type == gearman.JobCreated {
 						mu.Lock()
 						accepted[key] = string(p.Body)
--- a/cmd/tinroute/recover_test.go
+++ b/cmd/tinroute/recover_test.go
@@ -70,7 +70,7 @@
 	go func() {
 		defer close(done)
 		began := map[string]time.Time{}
-		_ = link.Read(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
+		_ = link.ReadMessages(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
 			handle, _, _ := strings.Cut(string(p.Body), "\x00")
 			switch p.Type {
 			case gearman.JobCreated: // they come in the order of the submissions, the ends need not
@@ -108,7 +108,7 @@
 	}
 	return func(region int, c net.Conn) {
 		defer func() { _ = c.Close() }()
-		_ = link.Read(c, gearman.NewRequestFramer(), func(*gearman.Packet) bool {
+		_ = link.ReadMessages(c, gearman.NewRequestFramer(), func(*gearman.Packet) bool {
 			select {
 			case slots[region] <- struct{}{}:
 			default:
--- a/internal/daemon/coalesce_test.go
+++ b/internal/daemon/coalesce_test.go
@@ -42,7 +42,7 @@
 					return
 				}
 				wg.Go(func() {
-					_ = link.Read(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
+					_ = link.ReadMessages(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
 						switch p.Type {
 						case gearman.JobCreated:
 							created.Add(1)
@@ -92,7 +92,7 @@
 				for i, c := range conns {
 					done.Go(func() {
 						_, _ = c.Write(gearman.Request(gearman.SubmitJob, "price-read", id, id))
-						_ = link.Read(c, framers[i], func(p *gearman.Packet) bool {
+						_ = link.ReadMessages(c, framers[i], func(p *gearman.Packet) bool {
 							if p.Type == gearman.JobCreated {
 								joined.Done()
 							}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -77,7 +77,7 @@
 // front is one protocol's side, with a core of its own for its own fleet.
 type front interface {
 	Serve(net.Listener) error
-	Drain(context.Context, link.Grace)
+	Drain(context.Context, link.DrainSchedule)
 }
 
 // Run serves until the context ends, then drains.
@@ -110,7 +110,7 @@
 	var drained sync.WaitGroup
 	for _, f := range r.fronts {
 		drained.Go(func() {
-			f.Drain(r.inner, link.Grace{Free: killPast - beforeKill, Stay: within - lastAsked, Within: within})
+			f.Drain(r.inner, link.DrainSchedule{FullDeadlineFor: killPast - beforeKill, KeepClientsFor: within - lastAsked, AnswerWithin: within})
 		})
 	}
 	drained.Wait()
@@ -222,8 +222,8 @@
 func (d *Daemon) start(ctx context.Context, core *dispatch.Core, workers interface {
 	dispatch.Driver
 	Run(context.Context)
-}, discovery string, known []byte) (*platform.Discovery, error) {
-	table := platform.NewDiscovery(core, d.Log, d.Config.Names, d.Dial, discovery)
+}, discovery string, known []byte) (*platform.DiscoveryClient, error) {
+	table := platform.NewDiscoveryClient(core, d.Log, d.Config.Names, d.Dial, discovery)
 	core.Connect(workers, table)
 	go core.Run(ctx)
 	go workers.Run(ctx)
@@ -238,7 +238,7 @@
 // the daemon drains, since what it has taken may need a worker that only the new discovery
 // knows. It takes up where discovery is; all else holds until a restart. A file that is
 // faulty changes nothing.
-func (d *Daemon) reload(ctx context.Context, table, second *platform.Discovery) {
+func (d *Daemon) reload(ctx context.Context, table, second *platform.DiscoveryClient) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -251,9 +251,9 @@
 			continue
 		}
 		d.Log.Info("reloaded", "discovery", f.Config.Discovery)
-		table.Move(f.Config.Discovery)
+		table.SetAddr(f.Config.Discovery)
 		if second != nil && f.Gearman != nil {
-			second.Move(f.Gearman.Discovery)
+			second.SetAddr(f.Gearman.Discovery)
 		}
 		if d.fleet != nil && f.Fleet != nil {
 			d.fleet.Reload(f.Fleet)
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -28,7 +28,7 @@
 	fronts             []front
 	spans              *telemetry.Telemetry
 	clients            *platform.Server
-	table, second      *platform.Discovery
+	table, second      *platform.DiscoveryClient
 }
 
 // begin starts the parts in their order: each may use what those before it have left. A part that the
@@ -131,7 +131,7 @@
 	workers := platform.NewWorkers(core, r.Log, r.Dial, r.sockets-r.terminals)
 	if r.fleet != nil {
 		if l := r.fleet.Connections(); l != nil {
-			workers.Bound(l)
+			workers.SetConnLimit(l)
 		}
 	}
 	if r.table, err = r.start(r.inner, core, workers, r.Config.Discovery, r.Config.Known); err != nil {
@@ -139,12 +139,12 @@
 	}
 	r.clients = platform.NewServer(core, workers, r.Log, r.Config.Names, r.terminals)
 	if r.Config.Ops != "" { // upgrades: a worker's call-back may reach the other process
-		relay := handover.NewRelay(r.Shared, r.Log, r.clients.Relayed)
+		relay := handover.NewRelay(r.Shared, r.Log, r.clients.HandleRelayed)
 		if err := relay.Start(); err != nil {
 			return err
 		}
 		r.onClose(relay.Close)
-		r.clients.Relay(relay.Send)
+		r.clients.SetRelay(relay.Send)
 	}
 	if err := r.open(r.Config.Listen, r.clients); err != nil {
 		return err
--- a/internal/daemon/standin_test.go
+++ b/internal/daemon/standin_test.go
@@ -482,7 +482,7 @@
 }
 
 func (g *gearmanWire) answer(c net.Conn, id string) (verdict string, ok bool) {
-	_ = link.Read(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
+	_ = link.ReadMessages(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
 		switch p.Type {
 		case gearman.WorkComplete:
 			verdict = "served"
@@ -505,7 +505,7 @@
 
 func (g *gearmanWire) serve(r *worker, c net.Conn) {
 	id := ""
-	_ = link.Read(c, gearman.NewRequestFramer(), func(p *gearman.Packet) bool {
+	_ = link.ReadMessages(c, gearman.NewRequestFramer(), func(p *gearman.Packet) bool {
 		args, err := p.Args(3)
 		if err != nil {
 			return false
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -43,7 +43,7 @@
 		for p.Next() {
 			begin := time.Now()
 			_, _ = c.Write(gearman.Request(gearman.SubmitJobEpoch, "price-read", "", due, "some data of a job"))
-			_ = link.Read(c, f, func(x *gearman.Packet) bool {
+			_ = link.ReadMessages(c, f, func(x *gearman.Packet) bool {
 				if x.Type != gearman.JobCreated {
 					b.Errorf("packet %d %q", x.Type, x.Body)
 				}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -124,7 +124,7 @@
 }
 
 // Connections bounds those at each worker, nil where no budget does.
-func (p *Part) Connections() link.Limit {
+func (p *Part) Connections() link.ConnLimit {
 	if p.o.File.Each == "" {
 		return nil
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -85,22 +85,22 @@
 	return m.rates[i].Take(m.o.Clock(), n)
 }
 
-// Open asks for one more connection to a worker; with Closed and Over it implements link.Limit.
-func (m *Member) Open(addr string) bool {
+// Acquire asks for one more connection to a worker; with Closed and Over it implements link.Limit.
+func (m *Member) Acquire(addr string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.each.Take(m.o.Clock(), addr)
 }
 
-// Closed gives a connection back.
-func (m *Member) Closed(addr string) {
+// Release gives a connection back.
+func (m *Member) Release(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.each.Give(addr)
 }
 
-// Over is how many connections at a worker are to be closed.
-func (m *Member) Over(addr string) int {
+// Excess is how many connections at a worker are to be closed.
+func (m *Member) Excess(addr string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return int((m.each.Over(m.o.Clock(), addr) + budget.Milli - 1) / budget.Milli)
--- a/internal/gearman/background.go
+++ b/internal/gearman/background.go
@@ -16,10 +16,10 @@
 			} else {
 				c.send(Response(JobCreated, handle))
 			}
-			c.Busy(-1)
+			c.AddInFlight(-1)
 		}
 	}
-	c.Busy(1) // a drain leaves the connection open until this is answered
+	c.AddInFlight(1) // a drain leaves the connection open until this is answered
 	if o := c.stored(j); o != nil {
 		reply(o.Job.Handle)(nil)
 		return
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -84,7 +84,7 @@
 	if o.Keeper != nil {
 		s.keeper = o.Keeper(s)
 	}
-	s.server = link.Server{Log: o.Log, Most: o.Most, Handle: s.handle}
+	s.server = link.Server{Log: o.Log, MaxConns: o.Most, Handle: s.handle}
 	return s
 }
 
@@ -93,7 +93,7 @@
 
 // Drain goes on taking what comes, for as long as g says while there are clients, and returns
 // when every job that was sent is answered. Background jobs that were not stay stored.
-func (s *Server) Drain(ctx context.Context, g link.Grace) {
+func (s *Server) Drain(ctx context.Context, g link.DrainSchedule) {
 	if s.keeper != nil {
 		s.mu.Lock()
 		s.draining = true
@@ -101,8 +101,8 @@
 		s.mu.Unlock()
 		s.keeper.Drain()
 	}
-	s.core.Drain(g.Free, g.Within)
-	s.server.Drain(ctx, s.core.Open, g.Stay)
+	s.core.Drain(g.FullDeadlineFor, g.AnswerWithin)
+	s.server.Drain(ctx, s.core.Open, g.KeepClientsFor)
 }
 
 // outgoing is something that waits to be written.
@@ -114,7 +114,7 @@
 
 // client is one connection from a client, with any number of jobs up to the bound.
 type client struct {
-	*link.Peer
+	*link.ServerConn
 	*Server
 	out        chan outgoing
 	done       chan struct{}
@@ -126,8 +126,8 @@
 	text       bool
 }
 
-func (s *Server) handle(p *link.Peer) {
-	c := &client{Peer: p, Server: s, done: make(chan struct{}), settled: make(chan struct{}, 1),
+func (s *Server) handle(p *link.ServerConn) {
+	c := &client{ServerConn: p, Server: s, done: make(chan struct{}), settled: make(chan struct{}, 1),
 		out: make(chan outgoing, outboxPerJob*max(16, s.file.Limits.PerClient))}
 	written := make(chan struct{})
 	go func() {
@@ -135,7 +135,7 @@
 		c.write()
 	}()
 	last := false // it is told why, and then closed
-	err := link.Read(c.Peer, NewPortFramer(), func(p *Packet) bool {
+	err := link.ReadMessages(c.ServerConn, NewPortFramer(), func(p *Packet) bool {
 		c.text = p.Text
 		if p.Text {
 			c.command(string(p.Body))
@@ -145,7 +145,7 @@
 		last = c.bad >= badMost
 		return !last
 	})
-	if bad := (*link.Malformed)(nil); errors.As(err, &bad) {
+	if bad := (*link.MalformedError)(nil); errors.As(err, &bad) {
 		last = true
 		s.limitedLog.Report("malformed packet", c.RemoteAddr(), err.Error())
 		if errors.Is(err, errLine) {
@@ -218,9 +218,9 @@
 }
 
 func (c *client) put(p outgoing) bool {
-	_, err := link.Write(c.Conn, p.data)
+	_, err := link.WriteWithTimeout(c.Conn, p.data)
 	if p.final {
-		c.Busy(-1)
+		c.AddInFlight(-1)
 	}
 	if p.told != nil {
 		p.told(err == nil)
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -63,7 +63,7 @@
 // good notes that the client has sent something that is served.
 func (c *client) good() {
 	if c.bad = 0; !c.text {
-		c.Prove()
+		c.MarkValidated()
 	}
 }
 
@@ -194,7 +194,7 @@
 	}
 	c.book.Join(e, c)
 	c.owed++
-	c.Busy(1)
+	c.AddInFlight(1)
 	c.send(Response(JobCreated, e.Handle)) // before any answer: both are handed over under the lock
 	c.mu.Unlock()
 	if request != nil {
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -45,7 +45,7 @@
 		f = []string{""}
 	}
 	before := c.bad
-	c.Prove()
+	c.MarkValidated()
 	c.bad = 0
 	answer := c.answerTo(f)
 	if strings.HasPrefix(answer, "ERR") {
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -25,7 +25,7 @@
 }
 
 // NewWorkers returns a driver that holds at most so many connections.
-func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.Dial, most int) *Workers {
+func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.DialFunc, most int) *Workers {
 	s := core.Settings()
 	return &Workers{core: core, log: log, attempts: map[*dispatch.Attempt]context.CancelFunc{},
 		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdleTimeout, most)}
@@ -44,7 +44,7 @@
 	for _, worker := range list {
 		listed[worker.Addr] = true
 	}
-	r.pool.Forget(listed)
+	r.pool.CloseIdleExcept(listed)
 }
 
 // Serving returns the workers that take new attempts.
@@ -120,7 +120,7 @@
 	}
 	t.RecordEvent(dispatch.Connected)
 	data := Request(SubmitJob, j.function, j.unique, j.data)
-	if n, err := link.Write(conn, data); n < len(data) {
+	if n, err := link.WriteWithTimeout(conn, data); n < len(data) {
 		r.logAttempt(t, "request cut short", err)
 		return balance.StatusUnreachable, nil
 	}
@@ -133,7 +133,7 @@
 
 // receive takes a job server's packets up to the job's end. keep tells whether the connection may be
 // used again.
-func (r *Workers) receive(ctx context.Context, t *dispatch.Attempt, conn *link.Conn[Packet]) (status balance.Status, result []byte, keep bool) {
+func (r *Workers) receive(ctx context.Context, t *dispatch.Attempt, conn *link.PoolConn[Packet]) (status balance.Status, result []byte, keep bool) {
 	x := exchange{started: func() { r.core.AttemptStarted(t) }, progress: func(s float64) { r.core.AttemptProgress(t, s) }}
 	for {
 		p, err := conn.Receive(ctx)
--- a/internal/link/drain.go
+++ b/internal/link/drain.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Grace is how a process that is told to end may use its last time.
-type Grace struct {
-	Free   time.Duration // what comes until then keeps its own time
-	Stay   time.Duration // clients are kept until then
-	Within time.Duration // what comes after Free is answered by then
+// DrainSchedule is how a process that is told to end may use its last time.
+type DrainSchedule struct {
+	FullDeadlineFor time.Duration // what comes until then keeps its own time
+	KeepClientsFor  time.Duration // clients are kept until then
+	AnswerWithin    time.Duration // what comes after Free is answered by then
 }
 
 // Drain goes on serving what comes for a while, then closes idle connections, and returns
@@ -86,7 +86,7 @@
 // are busy.
 func (s *Server) closeIdle(all bool) (busy int) {
 	s.mu.Lock()
-	var idle []*Peer
+	var idle []*ServerConn
 	defer func() {
 		s.mu.Unlock()
 		// A close waits for a read under way, and that may wait for the lock.
--- a/internal/link/eviction.go
+++ b/internal/link/eviction.go
@@ -10,8 +10,8 @@
 func (s *Server) makeRoom() {
 	for {
 		s.mu.Lock()
-		full := len(s.peers) >= s.Most
-		var least *Peer
+		full := len(s.peers) >= s.MaxConns
+		var least *ServerConn
 		if full { // only then: it looks at every connection
 			if least = s.evictable(time.Now()); least != nil {
 				least.closing = true
@@ -36,9 +36,9 @@
 // be closed are asked, and only unreadLooks of them: asking every connection for each one that
 // came cost a millisecond of processor time at 300 connections, and a process that idle clients
 // had filled stood still for seconds.
-func (s *Server) evictable(now time.Time) *Peer {
+func (s *Server) evictable(now time.Time) *ServerConn {
 	flooded := s.flooded()
-	var unread [unreadLooks]*Peer
+	var unread [unreadLooks]*ServerConn
 	for i := range unread {
 		least := s.firstEvictable(unread[:i], flooded, now)
 		if least == nil || least.rank() == rankLeaving || !pending(least.Conn) {
@@ -59,12 +59,12 @@
 			unproven++
 		}
 	}
-	return unproven > 0 && unproven >= int(unprovenShare*float64(s.Most))
+	return unproven > 0 && unproven >= int(unprovenShare*float64(s.MaxConns))
 }
 
 // firstEvictable is the first connection in the order of giving way that may be closed by now and is
 // none of those excepted, or nil.
-func (s *Server) firstEvictable(excepted []*Peer, flooded bool, now time.Time) (least *Peer) {
+func (s *Server) firstEvictable(excepted []*ServerConn, flooded bool, now time.Time) (least *ServerConn) {
 	for p := range s.peers {
 		if flooded && p.rank() > rankUnproven || least != nil && !p.before(least) {
 			continue
@@ -86,7 +86,7 @@
 	rankBusy
 )
 
-func (p *Peer) rank() int {
+func (p *ServerConn) rank() int {
 	switch {
 	case p.leaving:
 		return rankLeaving
@@ -101,7 +101,7 @@
 }
 
 // before tells whether p is to give way before o.
-func (p *Peer) before(o *Peer) bool {
+func (p *ServerConn) before(o *ServerConn) bool {
 	if a, b := p.rank(), o.rank(); a != b {
 		return a < b
 	}
@@ -110,7 +110,7 @@
 
 // yields tells whether the connection has been in its state for long enough to be closed for a
 // new one.
-func (p *Peer) yields(now time.Time) bool {
+func (p *ServerConn) yields(now time.Time) bool {
 	switch idle := now.Sub(p.since); p.rank() {
 	case rankLeaving:
 		return true
--- a/internal/link/limit_test.go
+++ b/internal/link/limit_test.go
@@ -46,8 +46,8 @@
 	require.NoError(t, err)
 	calls := &atomic.Int64{}
 	handled := make(chan struct{}, most+more)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: most, Handle: func(p *Peer) {
-		p.Prove()
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: most, Handle: func(p *ServerConn) {
+		p.MarkValidated()
 		handled <- struct{}{}
 		_, _ = io.Copy(io.Discard, p.Conn.(countedConn).TCPConn) // reads without the count
 	}}
@@ -82,10 +82,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	read := make(chan struct{})
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 4, Handle: func(p *Peer) {
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 4, Handle: func(p *ServerConn) {
 		<-read
-		_ = Read(p, &lines{}, func(m *string) bool {
-			p.Prove()
+		_ = ReadMessages(p, &lines{}, func(m *string) bool {
+			p.MarkValidated()
 			_, _ = io.WriteString(p, "answer")
 			return false
 		})
@@ -114,10 +114,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	half := make(chan struct{}, 8)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 4}
-	s.Handle = func(p *Peer) {
-		p.Prove()
-		_ = Read(notified{p, half}, &lines{}, func(m *string) bool {
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 4}
+	s.Handle = func(p *ServerConn) {
+		p.MarkValidated()
+		_ = ReadMessages(notified{p, half}, &lines{}, func(m *string) bool {
 			_, _ = io.WriteString(p, "answer "+*m)
 			return false
 		})
@@ -144,10 +144,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	half := make(chan struct{}, 8)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 4}
-	s.Handle = func(p *Peer) {
-		p.Prove()
-		_ = Read(notified{p, half}, &lines{}, func(*string) bool { return false })
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 4}
+	s.Handle = func(p *ServerConn) {
+		p.MarkValidated()
+		_ = ReadMessages(notified{p, half}, &lines{}, func(*string) bool { return false })
 	}
 	go func() { _ = s.Serve(listener) }()
 	defer func() { _ = listener.Close() }()
@@ -170,12 +170,12 @@
 
 // notified tells of each NotePartial.
 type notified struct {
-	*Peer
+	*ServerConn
 	told chan struct{}
 }
 
-func (n notified) NotePartial(partial bool) {
-	n.Peer.NotePartial(partial)
+func (n notified) ObservePartial(partial bool) {
+	n.ServerConn.ObservePartial(partial)
 	n.told <- struct{}{}
 }
 
@@ -185,13 +185,13 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	handled := &atomic.Int64{}
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 400, Handle: func(p *Peer) {
-		p.Prove()
-		_ = Read(p, &lines{}, func(m *string) bool {
-			p.Busy(1)
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 400, Handle: func(p *ServerConn) {
+		p.MarkValidated()
+		_ = ReadMessages(p, &lines{}, func(m *string) bool {
+			p.AddInFlight(1)
 			handled.Add(1)
 			_, err := io.WriteString(p, "answer "+*m+"\n")
-			p.Busy(-1)
+			p.AddInFlight(-1)
 			return err == nil
 		})
 	}}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -24,8 +24,8 @@
 	Partial() bool
 }
 
-// Dial opens a connection; net.Dialer.DialContext is one.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc opens a connection; net.Dialer.DialContext is one.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 const (
 	// partialWait bounds how long a message may take once it has begun: a peer that stops in
@@ -36,25 +36,25 @@
 	readSize  = 4 << 10
 )
 
-// Malformed marks an error that is the peer's doing, so that it can be told.
-type Malformed struct{ error }
+// MalformedError marks an error that is the peer's doing, so that it can be told.
+type MalformedError struct{ error }
 
 // Unwrap returns what was wrong.
-func (m *Malformed) Unwrap() error { return m.error }
+func (m *MalformedError) Unwrap() error { return m.error }
 
-// PartialNoter is a connection that wants to know, before each read, whether what was read so far
+// PartialObserver is a connection that wants to know, before each read, whether what was read so far
 // ends within a message.
-type PartialNoter interface{ NotePartial(partial bool) }
+type PartialObserver interface{ ObservePartial(partial bool) }
 
-// Read feeds the framer from the connection and hands on whole messages until the stream
+// ReadMessages feeds the framer from the connection and hands on whole messages until the stream
 // ends, is malformed, or hand returns false.
-func Read[M any](c net.Conn, f Framer[M], hand func(*M) bool) error {
+func ReadMessages[M any](c net.Conn, f Framer[M], hand func(*M) bool) error {
 	buf := make([]byte, readSize)
 	begun := false
-	noter, _ := c.(PartialNoter)
+	noter, _ := c.(PartialObserver)
 	for {
 		if noter != nil {
-			noter.NotePartial(f.Partial())
+			noter.ObservePartial(f.Partial())
 		}
 		switch partial := f.Partial(); {
 		case partial && !begun:
@@ -69,7 +69,7 @@
 		for {
 			m, bad := f.Next()
 			if bad != nil {
-				return &Malformed{bad}
+				return &MalformedError{bad}
 			}
 			if m == nil {
 				break
@@ -89,8 +89,8 @@
 	}
 }
 
-// Write sends the whole of the data, or tells how much of it may have left.
-func Write(c net.Conn, data []byte) (int, error) {
+// WriteWithTimeout sends the whole of the data, or tells how much of it may have left.
+func WriteWithTimeout(c net.Conn, data []byte) (int, error) {
 	_ = c.SetWriteDeadline(time.Now().Add(writeWait))
 	return c.Write(data)
 }
--- a/internal/link/peer.go
+++ b/internal/link/peer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Peer is one accepted connection.
-type Peer struct {
+// ServerConn is one accepted connection.
+type ServerConn struct {
 	net.Conn
 	server *Server
 	prove  *time.Timer // ends it unless it proves itself
@@ -23,8 +23,8 @@
 	accepted time.Time
 }
 
-// Prove tells that the peer has sent a good message. It may be idle for long from then on.
-func (p *Peer) Prove() {
+// MarkValidated tells that the peer has sent a good message. It may be idle for long from then on.
+func (p *ServerConn) MarkValidated() {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	p.proven = true
@@ -34,7 +34,7 @@
 // Read takes what has come. Until the next Read it counts as a message on its way: between here and
 // the message's handler neither the system nor a count would tell a drain of it, and the connection
 // of a request that was taken would be closed.
-func (p *Peer) Read(buf []byte) (n int, err error) {
+func (p *ServerConn) Read(buf []byte) (n int, err error) {
 	p.server.mu.Lock()
 	p.taken = false
 	p.server.mu.Unlock()
@@ -48,8 +48,8 @@
 	return n, err
 }
 
-// NotePartial takes word on whether part of a message has come.
-func (p *Peer) NotePartial(partial bool) {
+// ObservePartial takes word on whether part of a message has come.
+func (p *ServerConn) ObservePartial(partial bool) {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	p.taken = false
@@ -62,9 +62,9 @@
 	}
 }
 
-// Waiting tells whether, beside the message in work, the peer has sent more that is owed an answer:
+// HasPendingInput tells whether, beside the message in work, the peer has sent more that is owed an answer:
 // a message that waits its turn, part of one that came lately, or bytes that nobody has read yet.
-func (p *Peer) Waiting() bool {
+func (p *ServerConn) HasPendingInput() bool {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	return p.busy > 1 || p.arriving(time.Now())
@@ -72,14 +72,14 @@
 
 // arriving tells whether a message is on its way in: a close now could end a request whose last
 // byte has been written. Server.mu is held.
-func (p *Peer) arriving(now time.Time) bool {
+func (p *ServerConn) arriving(now time.Time) bool {
 	recent := !p.partial.IsZero() && now.Sub(p.partial) < partialGrace
 	return p.taken || recent || pending(p.Conn)
 }
 
 // Linger waits after the last answer until the peer has had time to read it. ended tells
 // that no one else reads from the connection any more.
-func (p *Peer) Linger(ended <-chan struct{}) {
+func (p *ServerConn) Linger(ended <-chan struct{}) {
 	half, ok := p.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
@@ -98,17 +98,17 @@
 	_, _ = io.CopyN(io.Discard, p.Conn, lingerMost)
 }
 
-// Busy counts what is in work on the connection: 1 when something begins, -1 when it ends.
-func (p *Peer) Busy(n int) {
+// AddInFlight counts what is in work on the connection: 1 when something begins, -1 when it ends.
+func (p *ServerConn) AddInFlight(n int) {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	p.busy += n
 	p.since = time.Now()
 }
 
-// Keep spares the connection from being closed while the server drains: a worker's
+// KeepDuringDrain spares the connection from being closed while the server drains: a worker's
 // call-backs are wanted until the last answer.
-func (p *Peer) Keep() {
+func (p *ServerConn) KeepDuringDrain() {
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
 	p.keep = true
@@ -116,7 +116,7 @@
 
 // expire closes a connection that has not proven itself in time. Bytes that nobody has read yet may
 // be its request, in a process that has had no time for it: they are given some more.
-func (p *Peer) expire() {
+func (p *ServerConn) expire() {
 	p.server.mu.Lock()
 	late := time.Since(p.accepted) >= proveWithin+unreadGrace
 	switch {
--- a/internal/link/pending_linux.go
+++ b/internal/link/pending_linux.go
@@ -35,9 +35,9 @@
 // the system cannot tell it does not.
 func readable(c net.Conn) bool { return polled(c, unix.POLLIN|unix.POLLRDHUP) }
 
-// HungUp tells whether the peer has closed the connection, also where bytes that it sent before have
+// PeerClosed tells whether the peer has closed the connection, also where bytes that it sent before have
 // not been read yet. Where the system cannot tell it has not.
-func HungUp(c net.Conn) bool { return polled(c, unix.POLLRDHUP) }
+func PeerClosed(c net.Conn) bool { return polled(c, unix.POLLRDHUP) }
 
 // polled tells whether one of the events, a hang-up or an error has come on a connection.
 func polled(c net.Conn, events int16) bool {
--- a/internal/link/pending_test.go
+++ b/internal/link/pending_test.go
@@ -20,10 +20,10 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	held := make(chan *Peer, 1)
+	held := make(chan *ServerConn, 1)
 	release := make(chan struct{})
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 8, Handle: func(p *Peer) {
-		p.Prove() // a client that has been served before, now idle
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 8, Handle: func(p *ServerConn) {
+		p.MarkValidated() // a client that has been served before, now idle
 		held <- p
 		<-release // its reader has not run yet
 	}}
@@ -56,8 +56,8 @@
 	require.NoError(t, err)
 	defer l.Close()
 	read, again := make(chan int, 1), make(chan bool)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 8, Handle: func(p *Peer) {
-		p.Prove()
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 8, Handle: func(p *ServerConn) {
+		p.MarkValidated()
 		buf := make([]byte, 64)
 		for range 2 {
 			n, _ := p.Read(buf)
@@ -83,7 +83,7 @@
 func TestNothingIsAcceptedOnceDrained(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 8, Handle: func(p *Peer) { _, _ = io.Copy(p, p) }}
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 8, Handle: func(p *ServerConn) { _, _ = io.Copy(p, p) }}
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -101,8 +101,8 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 4, Handle: func(p *Peer) {
-		p.Prove()
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 4, Handle: func(p *ServerConn) {
+		p.MarkValidated()
 		_, _ = io.Copy(io.Discard, struct{ io.Reader }{p})
 	}}
 	go func() { _ = s.Serve(l) }()
--- a/internal/link/pool.go
+++ b/internal/link/pool.go
@@ -22,41 +22,41 @@
 // limitEvery is how often connections beyond a Limit are looked for.
 const limitEvery = 100 * time.Millisecond
 
-// ErrFull is Get's answer when all connections that the pool may hold are in use. Nothing
+// ErrPoolFull is Get's answer when all connections that the pool may hold are in use. Nothing
 // has been sent then.
-var ErrFull = errors.New("too many open connections")
+var ErrPoolFull = errors.New("too many open connections")
 
-// ErrHeld is Get's answer where the limit at the address leaves no room. Nothing has been sent then.
-var ErrHeld = errors.New("no more connections to this address for now")
+// ErrAddrLimit is Get's answer where the limit at the address leaves no room. Nothing has been sent then.
+var ErrAddrLimit = errors.New("no more connections to this address for now")
 
-// Limit bounds the connections at each address by what others decide. Its methods must not block.
-type Limit interface {
-	Open(addr string) bool // asks for one more
-	Closed(addr string)    // one that was opened has ended
-	Over(addr string) int  // how many more are held than may be: so many idle ones are to be closed
+// ConnLimit bounds the connections at each address by what others decide. Its methods must not block.
+type ConnLimit interface {
+	Acquire(addr string) bool // asks for one more
+	Release(addr string)      // one that was opened has ended
+	Excess(addr string) int   // how many more are held than may be: so many idle ones are to be closed
 }
 
 // Pool keeps connections to workers, by address. One message exchange at a time travels on
 // a connection: Get takes it out of the pool and Put brings it back.
 type Pool[M any] struct {
-	dial    Dial
+	dial    DialFunc
 	framer  func() Framer[M]
 	connect time.Duration
 	idleFor time.Duration
 	most    int
-	limit   Limit // nil for none
+	limit   ConnLimit // nil for none
 
 	mu     sync.Mutex
-	idle   []*Conn[M] // the longest idle first
+	idle   []*PoolConn[M] // the longest idle first
 	open   int
 	closed bool
 }
 
-// Conn is one connection to a worker. Its reader stays on it while it is idle too, so that
+// PoolConn is one connection to a worker. Its reader stays on it while it is idle too, so that
 // the worker's close is seen before the next request is written.
-type Conn[M any] struct {
+type PoolConn[M any] struct {
 	net.Conn
-	In <-chan *M // what the worker sends; closed at the connection's end
+	Incoming <-chan *M // what the worker sends; closed at the connection's end
 
 	pool  *Pool[M]
 	addr  string
@@ -73,31 +73,31 @@
 
 // NewPool returns a pool that opens connections within a time, closes them well before the
 // workers do, and holds at most so many.
-func NewPool[M any](dial Dial, framer func() Framer[M], connect, workersIdle time.Duration, most int) *Pool[M] {
+func NewPool[M any](dial DialFunc, framer func() Framer[M], connect, workersIdle time.Duration, most int) *Pool[M] {
 	return &Pool[M]{dial: dial, framer: framer, connect: connect, most: most,
 		idleFor: time.Duration(idleShare * float64(workersIdle))}
 }
 
-// Bound has connections opened from now on within a limit. It is called before the first Get.
-func (p *Pool[M]) Bound(l Limit) { p.limit = l }
+// SetLimit has connections opened from now on within a limit. It is called before the first Get.
+func (p *Pool[M]) SetLimit(l ConnLimit) { p.limit = l }
 
 // Get returns an idle connection, the one used last, or opens one. At the limit the
 // connection that has been idle longest makes room.
-func (p *Pool[M]) Get(ctx context.Context, addr string) (*Conn[M], error) {
+func (p *Pool[M]) Get(ctx context.Context, addr string) (*PoolConn[M], error) {
 	p.mu.Lock()
 	if c := p.reuse(addr); c != nil {
 		p.mu.Unlock()
 		return c, nil
 	}
-	if p.limit != nil && !p.limit.Open(addr) {
+	if p.limit != nil && !p.limit.Acquire(addr) {
 		p.mu.Unlock()
-		return nil, ErrHeld
+		return nil, ErrAddrLimit
 	}
 	if p.open >= p.most {
 		if len(p.idle) == 0 {
 			p.mu.Unlock()
 			p.gone(addr)
-			return nil, ErrFull
+			return nil, ErrPoolFull
 		}
 		_ = p.idle[0].Close()
 		p.idle = slices.Delete(p.idle, 0, 1)
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	in := make(chan *M, 4)
-	c := &Conn[M]{Conn: nc, In: in, pool: p, addr: addr, inUse: true, done: make(chan struct{})}
+	c := &PoolConn[M]{Conn: nc, Incoming: in, pool: p, addr: addr, inUse: true, done: make(chan struct{})}
 	go c.read(in)
 	return c, nil
 }
@@ -123,7 +123,7 @@
 // reuse takes an idle connection out of the pool, or returns nil. One on which its worker's close,
 // or bytes that nobody asked for, have come without its reader having run is dead already: a
 // request written to it would be lost, though it may count as one that has run. p.mu is held.
-func (p *Pool[M]) reuse(addr string) *Conn[M] {
+func (p *Pool[M]) reuse(addr string) *PoolConn[M] {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i]
 		rested := time.Since(c.since)
@@ -143,16 +143,16 @@
 
 func (p *Pool[M]) gone(addr string) {
 	if p.limit != nil {
-		p.limit.Closed(addr)
+		p.limit.Release(addr)
 	}
 }
 
 // Put makes a connection idle again.
-func (p *Pool[M]) Put(c *Conn[M]) {
+func (p *Pool[M]) Put(c *PoolConn[M]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	spoilt := c.ended || c.unasked || c.partial || len(c.In) > 0
-	if spoilt || p.closed || p.limit != nil && p.limit.Over(c.addr) > 0 {
+	spoilt := c.ended || c.unasked || c.partial || len(c.Incoming) > 0
+	if spoilt || p.closed || p.limit != nil && p.limit.Excess(c.addr) > 0 {
 		_ = c.Close()
 		return
 	}
@@ -160,7 +160,7 @@
 	p.idle = append(p.idle, c)
 }
 
-func (c *Conn[M]) read(in chan<- *M) {
+func (c *PoolConn[M]) read(in chan<- *M) {
 	defer close(in)
 	defer func() {
 		_ = c.Close()
@@ -175,7 +175,7 @@
 		}
 	}()
 	framer := c.pool.framer()
-	_ = Read(watched{c.Conn, c.arrived}, framer, func(m *M) bool {
+	_ = ReadMessages(watched{c.Conn, c.arrived}, framer, func(m *M) bool {
 		c.pool.mu.Lock()
 		wanted := c.inUse
 		c.partial = framer.Partial()
@@ -193,7 +193,7 @@
 }
 
 // arrived notes that bytes have come. On an idle connection they begin no answer, and end it.
-func (c *Conn[M]) arrived() {
+func (c *PoolConn[M]) arrived() {
 	c.pool.mu.Lock()
 	c.partial = true
 	c.unasked = !c.inUse
@@ -219,15 +219,15 @@
 }
 
 // Close ends the connection.
-func (c *Conn[M]) Close() error {
+func (c *PoolConn[M]) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
 }
 
 // Receive waits for the next message.
-func (c *Conn[M]) Receive(ctx context.Context) (*M, error) {
+func (c *PoolConn[M]) Receive(ctx context.Context) (*M, error) {
 	select {
-	case m, ok := <-c.In:
+	case m, ok := <-c.Incoming:
 		if !ok {
 			return nil, io.EOF
 		}
@@ -237,8 +237,8 @@
 	}
 }
 
-// Forget closes idle connections to addresses that are not listed any more.
-func (p *Pool[M]) Forget(listed map[string]bool) {
+// CloseIdleExcept closes idle connections to addresses that are not listed any more.
+func (p *Pool[M]) CloseIdleExcept(listed map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -264,7 +264,7 @@
 			p.mu.Lock()
 			p.closed = true
 			p.mu.Unlock()
-			p.Forget(nil)
+			p.CloseIdleExcept(nil)
 			return
 		}
 		p.mu.Lock()
@@ -272,7 +272,7 @@
 		for _, c := range p.idle {
 			n, asked := over[c.addr]
 			if !asked && p.limit != nil {
-				n = p.limit.Over(c.addr)
+				n = p.limit.Excess(c.addr)
 			}
 			if n > 0 || time.Since(c.since) >= p.idleFor {
 				_ = c.Close()
--- a/internal/link/pool_test.go
+++ b/internal/link/pool_test.go
@@ -50,7 +50,7 @@
 	return p, far
 }
 
-func get(t *testing.T, p *Pool[string], addr string) *Conn[string] {
+func get(t *testing.T, p *Pool[string], addr string) *PoolConn[string] {
 	c, err := p.Get(t.Context(), addr)
 	require.NoError(t, err)
 	return c
@@ -62,7 +62,7 @@
 		a := get(t, p, "a")
 		b := get(t, p, "b")
 		_, err := p.Get(t.Context(), "c")
-		require.ErrorIs(t, err, ErrFull)
+		require.ErrorIs(t, err, ErrPoolFull)
 		p.Put(a)
 		time.Sleep(settleFor)
 		require.Same(t, a, get(t, p, "a"), "an idle connection is used again once it has rested")
@@ -122,7 +122,7 @@
 	held map[string]int
 }
 
-func (f *few) Open(addr string) bool {
+func (f *few) Acquire(addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.held[addr] >= f.most {
@@ -132,13 +132,13 @@
 	return true
 }
 
-func (f *few) Closed(addr string) {
+func (f *few) Release(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.held[addr]--
 }
 
-func (f *few) Over(addr string) int {
+func (f *few) Excess(addr string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(0, f.held[addr]-f.most)
@@ -170,14 +170,14 @@
 		}
 		p := NewPool(dial, func() Framer[string] { return &lines{} }, 250*time.Millisecond, 10*time.Second, 9)
 		f := &few{most: 3, held: map[string]int{}}
-		p.Bound(f)
+		p.SetLimit(f)
 		go p.Sweep(ctx)
-		var all []*Conn[string]
+		var all []*PoolConn[string]
 		for range 3 {
 			all = append(all, get(t, p, "a"))
 		}
 		_, err := p.Get(ctx, "a")
-		require.ErrorIs(t, err, ErrHeld)
+		require.ErrorIs(t, err, ErrAddrLimit)
 		p.Put(get(t, p, "b"))
 		_, err = p.Get(ctx, "none")
 		require.Error(t, err)
--- a/internal/link/reuse_test.go
+++ b/internal/link/reuse_test.go
@@ -12,7 +12,7 @@
 )
 
 // exchangeOnce receives one answer on a connection of the pool and puts the connection back.
-func exchangeOnce(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn, sent string) {
+func exchangeOnce(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn, sent string) {
 	t.Helper()
 	go func() { _, _ = io.WriteString(far, sent) }()
 	m, err := c.Receive(t.Context())
@@ -25,19 +25,19 @@
 // What a worker sends beyond its answer must never pass for the answer to the next request: a
 // second answer in the same bytes, half of one, and one that comes some milliseconds later.
 func TestWhatFollowsAnAnswerEndsTheConnection(t *testing.T) {
-	for name, scene := range map[string]func(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn){
-		"second answer with the first": func(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn) {
+	for name, scene := range map[string]func(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn){
+		"second answer with the first": func(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn) {
 			exchangeOnce(t, p, c, far, "answer\nanswer\n")
 		},
-		"half a line with the answer": func(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn) {
+		"half a line with the answer": func(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn) {
 			exchangeOnce(t, p, c, far, "answer\nans")
 		},
-		"half a line later": func(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn) {
+		"half a line later": func(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn) {
 			exchangeOnce(t, p, c, far, "answer\n")
 			time.Sleep(settleFor / 2)
 			_, _ = io.WriteString(far, "ans")
 		},
-		"second answer later": func(t *testing.T, p *Pool[string], c *Conn[string], far net.Conn) {
+		"second answer later": func(t *testing.T, p *Pool[string], c *PoolConn[string], far net.Conn) {
 			exchangeOnce(t, p, c, far, "answer\n")
 			time.Sleep(settleFor / 2)
 			next, err := p.Get(t.Context(), "a")
@@ -58,7 +58,7 @@
 				require.NotSame(t, c, next)
 				_, err := c.Write([]byte("x"))
 				require.Error(t, err, "the connection is closed")
-				p.Forget(nil)
+				p.CloseIdleExcept(nil)
 				_ = next.Close()
 				synctest.Wait()
 			})
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -39,14 +39,14 @@
 
 // Server accepts connections, holds a bounded number of them, and drains.
 type Server struct {
-	Log    *slog.Logger
-	Most   int         // connections at once
-	Handle func(*Peer) // serves one until its end
+	Log      *slog.Logger
+	MaxConns int               // connections at once
+	Handle   func(*ServerConn) // serves one until its end
 
 	draining atomic.Bool // told to end
 	leaving  atomic.Bool // connections end after their next answer
 	mu       sync.Mutex
-	peers    map[*Peer]bool
+	peers    map[*ServerConn]bool
 	changed  chan struct{} // one has ended
 	listener net.Listener
 	served   chan struct{} // nothing is accepted any more
@@ -55,14 +55,14 @@
 // Draining tells whether the server has been told to end.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Leaving tells whether connections are to end after their next answer.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// ClosingConns tells whether connections are to end after their next answer.
+func (s *Server) ClosingConns() bool { return s.leaving.Load() }
 
 // Serve accepts until the listener is closed. At the limit it waits with one more in hand: the
 // listen queue holds what comes, rather than the process dying of it.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
-	s.peers, s.changed = map[*Peer]bool{}, make(chan struct{}, 1)
+	s.peers, s.changed = map[*ServerConn]bool{}, make(chan struct{}, 1)
 	s.listener, s.served = l, make(chan struct{})
 	s.mu.Unlock()
 	defer close(s.served)
@@ -81,7 +81,7 @@
 		}
 		s.makeRoom()
 		now := time.Now()
-		p := &Peer{Conn: c, server: s, since: now, accepted: now}
+		p := &ServerConn{Conn: c, server: s, since: now, accepted: now}
 		s.mu.Lock()
 		p.prove = time.AfterFunc(proveWithin, p.expire)
 		s.peers[p] = true
@@ -93,7 +93,7 @@
 	}
 }
 
-func (s *Server) ended(p *Peer) {
+func (s *Server) ended(p *ServerConn) {
 	_ = p.Close()
 	s.mu.Lock()
 	p.prove.Stop()
--- a/internal/link/server_test.go
+++ b/internal/link/server_test.go
@@ -53,13 +53,13 @@
 func atLimit(t *testing.T, most int, scene func(l pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := pipes(make(chan net.Conn))
-		s := &Server{Log: slog.New(slog.DiscardHandler), Most: most}
-		s.Handle = func(p *Peer) {
-			_ = Read(p.Conn, &lines{}, func(m *string) bool {
+		s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: most}
+		s.Handle = func(p *ServerConn) {
+			_ = ReadMessages(p.Conn, &lines{}, func(m *string) bool {
 				if *m != "ping" {
-					p.Busy(1)
+					p.AddInFlight(1)
 				}
-				p.Prove()
+				p.MarkValidated()
 				return true
 			})
 		}
@@ -128,10 +128,10 @@
 func TestLastAnswerIsNotLost(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &Server{Log: slog.New(slog.DiscardHandler), Most: 3}
-	s.Handle = func(p *Peer) {
+	s := &Server{Log: slog.New(slog.DiscardHandler), MaxConns: 3}
+	s.Handle = func(p *ServerConn) {
 		ended := make(chan struct{})
-		_ = Read(p.Conn, &lines{}, func(*string) bool { return false })
+		_ = ReadMessages(p.Conn, &lines{}, func(*string) bool { return false })
 		_, _ = io.WriteString(p, "refused")
 		close(ended)
 		p.Linger(ended)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -351,7 +351,7 @@
 	}
 	onStage(t, w, func(t *testing.T, s *stage) {
 		s.send()
-		_, err := s.workers.Event("r1", "s-1", "returned", 0, nil)
+		_, err := s.workers.HandleEvent("r1", "s-1", "returned", 0, nil)
 		require.NoError(t, err)
 		synctest.Wait()
 		require.Equal(t, []balance.Status{balance.StatusFull}, s.policy.statuses())
@@ -360,12 +360,12 @@
 		w.mu.Unlock()
 		s.send()
 		for _, state := range []string{"returned", "lost", "failed"} {
-			_, err = s.workers.Event("r1", "s-1", state, 0, nil)
+			_, err = s.workers.HandleEvent("r1", "s-1", state, 0, nil)
 			require.True(t, errors.Is(err, errNotYet), state)
 		}
 		synctest.Wait()
 		require.Len(t, s.policy.statuses(), 1)
-		known, err := s.workers.Event("r1", "s-1", "done", 1, []byte("result"))
+		known, err := s.workers.HandleEvent("r1", "s-1", "done", 1, []byte("result"))
 		require.NoError(t, err)
 		require.True(t, known, "a result is a result")
 	})
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -113,8 +113,10 @@
 	require.NoError(t, err)
 	first := <-f.policy.asked
 	var drained sync.WaitGroup
-	drained.Go(func() { f.server.Drain(t.Context(), link.Grace{Free: time.Minute, Within: time.Minute}) })
-	require.Eventually(t, f.server.server.Leaving, 5*time.Second, time.Millisecond)
+	drained.Go(func() {
+		f.server.Drain(t.Context(), link.DrainSchedule{FullDeadlineFor: time.Minute, AnswerWithin: time.Minute})
+	})
+	require.Eventually(t, f.server.server.ClosingConns, 5*time.Second, time.Millisecond)
 	_, err = io.WriteString(c, posts("r2", "r3"))
 	require.NoError(t, err)
 	f.fail(first)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -40,16 +40,16 @@
 // errSilent marks a call that nothing answered in time.
 var errSilent = errors.New("no answer")
 
-// Discovery keeps discovery by asking discovery. It implements dispatch.Discovery.
+// DiscoveryClient keeps discovery by asking discovery. It implements dispatch.DiscoveryClient.
 //
 // A subscription is a chain of calls. The first does not wait, so that the balancer has
 // its answer at once; each next one follows the last answer without a pause, since a watch
 // is only continued within 200 ms.
-type Discovery struct {
+type DiscoveryClient struct {
 	core  *dispatch.Core
 	log   *slog.Logger
 	names *config.Names
-	dial  link.Dial
+	dial  link.DialFunc
 	ask   chan bool // true to watch, false to fetch
 
 	mu    sync.Mutex
@@ -69,20 +69,20 @@
 	framer  link.Framer[Message]
 }
 
-// NewDiscovery returns a table that asks at the address once it runs.
-func NewDiscovery(core *dispatch.Core, log *slog.Logger, names *config.Names, dial link.Dial, addr string) *Discovery {
+// NewDiscoveryClient returns a table that asks at the address once it runs.
+func NewDiscoveryClient(core *dispatch.Core, log *slog.Logger, names *config.Names, dial link.DialFunc, addr string) *DiscoveryClient {
 	short := watchShort
 	if within := core.Settings().PullInterval; within > 0 { // past it the rules take a change for told
 		short = min(short, within*2/5)
 	}
 	long := min(watchLong, max(short, time.Duration(core.Settings().FleetSize)*watchEach))
-	return &Discovery{core: core, log: log, names: names, dial: dial, short: short, long: long, addr: addr, next: addr, ask: make(chan bool, 2)}
+	return &DiscoveryClient{core: core, log: log, names: names, dial: dial, short: short, long: long, addr: addr, next: addr, ask: make(chan bool, 2)}
 }
 
-// Move makes the table ask at another address from now on. It does so at once and for the
+// SetAddr makes the table ask at another address from now on. It does so at once and for the
 // whole list, since the versions of two discoveries cannot be compared. The list in use
 // stays until then, and what the old address still says is dropped.
-func (t *Discovery) Move(addr string) {
+func (t *DiscoveryClient) SetAddr(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if addr != t.next {
@@ -95,7 +95,7 @@
 }
 
 // arrive turns to the address to be asked and returns a context that ends when it is left.
-func (t *Discovery) arrive(ctx context.Context) (here context.Context, moved bool) {
+func (t *DiscoveryClient) arrive(ctx context.Context) (here context.Context, moved bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	here, t.leave = context.WithCancel(ctx)
@@ -111,12 +111,12 @@
 }
 
 // Watch subscribes to changes.
-func (t *Discovery) Watch() { t.request(true) }
+func (t *DiscoveryClient) Watch() { t.request(true) }
 
 // Fetch asks for the whole list.
-func (t *Discovery) Fetch() { t.request(false) }
+func (t *DiscoveryClient) Fetch() { t.request(false) }
 
-func (t *Discovery) request(watch bool) {
+func (t *DiscoveryClient) request(watch bool) {
 	select {
 	case t.ask <- watch:
 	default: // two calls wait already
@@ -125,7 +125,7 @@
 
 // Start begins with the list as last held. Where there is none the balancer is told of an
 // empty one, or it would never ask for a better.
-func (t *Discovery) Start(known []byte) error {
+func (t *DiscoveryClient) Start(known []byte) error {
 	var list []dispatch.Worker
 	if len(known) > 0 {
 		var err error
@@ -138,7 +138,7 @@
 }
 
 // Run asks until the context ends.
-func (t *Discovery) Run(ctx context.Context) {
+func (t *DiscoveryClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		here, moved := t.arrive(ctx)
 		if moved {
@@ -161,7 +161,7 @@
 // subscribe watches until discovery turns a call away or cannot be reached, or the context ends. A
 // watch that falls silent or is cut off is opened anew at once: that says nothing of discovery, and
 // what it misses counts as told before long.
-func (t *Discovery) subscribe(ctx context.Context) {
+func (t *DiscoveryClient) subscribe(ctx context.Context) {
 	for t.catchUp(ctx) {
 		err := t.once(ctx, true, t.hold())
 		for err == nil {
@@ -179,7 +179,7 @@
 }
 
 // catchUp makes a call that does not wait, and tells whether it was answered.
-func (t *Discovery) catchUp(ctx context.Context) bool {
+func (t *DiscoveryClient) catchUp(ctx context.Context) bool {
 	err := t.once(ctx, t.held, 0)
 	if err != nil && ctx.Err() == nil {
 		t.failed(err)
@@ -189,7 +189,7 @@
 
 // failed tells the core that no list could be had, and has later watches hold for longer: shorter
 // ones are more calls.
-func (t *Discovery) failed(err error) {
+func (t *DiscoveryClient) failed(err error) {
 	t.log.Warn("discovery unreachable", "err", err)
 	t.core.DiscoveryFailed()
 	if t.short<<t.backoff < t.long {
@@ -217,14 +217,14 @@
 // hold is how long the next watch is to be held: between half and all of what is allowed now, by
 // lot, since dispatchers that started together, or lost their watches together, would otherwise
 // come back together at each end.
-func (t *Discovery) hold() time.Duration {
+func (t *DiscoveryClient) hold() time.Duration {
 	most := min(t.short<<t.backoff, t.long)
 	return most/2 + rand.N(most/2)
 }
 
 // once makes one call and tells the core of its answer. An answer that comes when its address has
 // been left is old news and counts no more.
-func (t *Discovery) once(ctx context.Context, watch bool, wait time.Duration) error {
+func (t *DiscoveryClient) once(ctx context.Context, watch bool, wait time.Duration) error {
 	full, list, err := t.inquire(ctx, watch, wait)
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -246,7 +246,7 @@
 
 // inquire makes one call. A connection kept from an earlier call may have been closed in
 // the meantime: an inquiry repeats harmlessly, so it is made again on a new one.
-func (t *Discovery) inquire(ctx context.Context, watch bool, wait time.Duration) (bool, []dispatch.Worker, error) {
+func (t *DiscoveryClient) inquire(ctx context.Context, watch bool, wait time.Duration) (bool, []dispatch.Worker, error) {
 	path := pathTable
 	if watch {
 		path += "?after=" + strconv.FormatInt(t.version, 10) + "&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
@@ -273,7 +273,7 @@
 	return full, list, nil
 }
 
-func (t *Discovery) call(ctx context.Context, path string, within time.Duration) (m *Message, err error) {
+func (t *DiscoveryClient) call(ctx context.Context, path string, within time.Duration) (m *Message, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	if t.conn == nil {
@@ -317,7 +317,7 @@
 	"DELETED": balance.Gone}
 
 // read reads a list in discovery's form and notes its version.
-func (t *Discovery) read(data []byte) (full bool, list []dispatch.Worker, err error) {
+func (t *DiscoveryClient) read(data []byte) (full bool, list []dispatch.Worker, err error) {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
 		return false, nil, err
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -120,14 +120,14 @@
 func play(t *testing.T, d *discovery, length time.Duration) { playWith(t, d, length, nil) }
 
 // playWith does the same, and something to the table beside it.
-func playWith(t *testing.T, d *discovery, length time.Duration, beside func(*Discovery)) {
+func playWith(t *testing.T, d *discovery, length time.Duration, beside func(*DiscoveryClient)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := balance.Settings{FleetSize: max(1, d.fleet), WorkerKinds: 1, MaxAttempts: 3, PullMembers: true, ConnectTimeout: 250 * time.Millisecond,
 			Tick: 5 * time.Millisecond, PullInterval: 10 * time.Second,
 			Classes: []balance.Class{{Name: "price-read", Deadline: 5 * time.Second, Worth: 1, WorkerKind: -1}}}
 		core, err := dispatch.New(dispatch.Options{Settings: s})
 		require.NoError(t, err)
-		table := NewDiscovery(core, slog.New(slog.DiscardHandler), &config.Names{}, d.dial, "discovery")
+		table := NewDiscoveryClient(core, slog.New(slog.DiscardHandler), &config.Names{}, d.dial, "discovery")
 		core.Connect(noWorkers{}, table)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -242,10 +242,10 @@
 // none: nothing that happened afterwards was heard.
 func TestTableMovedThereAndBackWatchesAgain(t *testing.T) {
 	d := &discovery{answers: []string{whole, "held", "held", "held", "held", "held", "held", "held", "held"}}
-	playWith(t, d, 10*time.Second, func(table *Discovery) {
+	playWith(t, d, 10*time.Second, func(table *DiscoveryClient) {
 		time.Sleep(time.Second)
-		table.Move("elsewhere")
-		table.Move("discovery")
+		table.SetAddr("elsewhere")
+		table.SetAddr("discovery")
 	})
 	at := d.at[len(d.at)-1]
 	require.Greater(t, at.Sub(d.at[0]), 5*time.Second, "calls: %q", d.paths)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -38,7 +38,7 @@
 // NewServer returns a server that holds at most so many connections.
 func NewServer(core *dispatch.Core, workers *Workers, log *slog.Logger, names *config.Names, most int) *Server {
 	s := &Server{core: core, workers: workers, log: log, names: names, limitedLog: limitedlog.New(log, nil)}
-	s.server = link.Server{Log: log, Most: most, Handle: s.handle}
+	s.server = link.Server{Log: log, MaxConns: most, Handle: s.handle}
 	return s
 }
 
@@ -48,13 +48,13 @@
 	return s.server.Serve(l)
 }
 
-// Relay gives the server a way to hand a call-back that names no request of this process to
+// SetRelay gives the server a way to hand a call-back that names no request of this process to
 // another process at the same address, during an upgrade; send tells whether it went anywhere.
 // It is to be set before Serve.
-func (s *Server) Relay(send func(body []byte) bool) { s.relay = send }
+func (s *Server) SetRelay(send func(body []byte) bool) { s.relay = send }
 
-// Relayed takes a call-back that another process handed over: it may be for a request of ours.
-func (s *Server) Relayed(body []byte) {
+// HandleRelayed takes a call-back that another process handed over: it may be for a request of ours.
+func (s *Server) HandleRelayed(body []byte) {
 	if _, err := s.event(body); err != nil && !errors.Is(err, errNotYet) {
 		s.limitedLog.Report("malformed call-back", nil, "relayed", "err", err)
 	}
@@ -66,14 +66,14 @@
 // Drain ends service: it goes on taking what comes, for as long as g says while there are
 // clients, then closes connections after their answers, and returns when all that was taken
 // is answered.
-func (s *Server) Drain(ctx context.Context, g link.Grace) {
+func (s *Server) Drain(ctx context.Context, g link.DrainSchedule) {
 	s.ready.Store(false)
-	s.core.Drain(g.Free, g.Within)
-	s.server.Drain(ctx, s.core.Open, g.Stay)
+	s.core.Drain(g.FullDeadlineFor, g.AnswerWithin)
+	s.server.Drain(ctx, s.core.Open, g.KeepClientsFor)
 }
 
-func (s *Server) handle(p *link.Peer) {
-	t := &clientConn{Peer: p, Server: s, answers: make(chan dispatch.Answer, 1),
+func (s *Server) handle(p *link.ServerConn) {
+	t := &clientConn{ServerConn: p, Server: s, answers: make(chan dispatch.Answer, 1),
 		in: make(chan *Message, 1), ended: make(chan struct{}), quit: make(chan struct{})}
 	go t.read()
 	t.serve()
@@ -85,7 +85,7 @@
 
 // clientConn is one connection from a client, or from a worker that calls back.
 type clientConn struct {
-	*link.Peer
+	*link.ServerConn
 	*Server
 	answers chan dispatch.Answer
 	in      chan *Message
@@ -102,12 +102,12 @@
 // read goes on while a request is being served, or the client's leaving would not be seen;
 // a second request then waits in the channel, and a third with the reader.
 func (t *clientConn) read() {
-	t.err = link.Read(t.Peer, NewRequestFramer(), func(m *Message) bool {
-		t.Busy(1) // until it is answered
+	t.err = link.ReadMessages(t.ServerConn, NewRequestFramer(), func(m *Message) bool {
+		t.AddInFlight(1) // until it is answered
 		if t.hand(m) {
 			return true
 		}
-		t.Busy(-1)
+		t.AddInFlight(-1)
 		return false
 	})
 	close(t.ended)
@@ -135,7 +135,7 @@
 		case <-t.quit:
 			return false
 		case <-look.C:
-			if link.HungUp(t.Conn) {
+			if link.PeerClosed(t.Conn) {
 				return false
 			}
 		}
@@ -160,7 +160,7 @@
 			}
 		}
 		goes := t.message(m)
-		t.Busy(-1)
+		t.AddInFlight(-1)
 		if !goes {
 			return
 		}
@@ -179,7 +179,7 @@
 	case r.URL.Path == pathEvents && r.Method == http.MethodPost:
 		known, err := t.event(m.Body)
 		if errors.Is(err, errNotYet) {
-			t.Prove()
+			t.MarkValidated()
 			return t.answer(http.StatusServiceUnavailable, []byte(err.Error()+"\n"), 0, m.Close)
 		}
 		if err != nil {
@@ -188,8 +188,8 @@
 		if !known && t.relay != nil {
 			t.relay(m.Body)
 		}
-		t.Prove()
-		t.Keep()
+		t.MarkValidated()
+		t.KeepDuringDrain()
 		return t.answer(http.StatusNoContent, nil, 0, m.Close)
 	case r.Method != http.MethodPost:
 		return t.malformed("malformed request", &refusal{http.StatusNotFound, "not found"})
@@ -198,8 +198,8 @@
 	if err != nil {
 		return t.malformed("malformed request", err)
 	}
-	t.Prove()
-	if link.HungUp(t.Conn) { // the client has sent it, perhaps behind others, and gone
+	t.MarkValidated()
+	if link.PeerClosed(t.Conn) { // the client has sent it, perhaps behind others, and gone
 		return false
 	}
 	request.Client = t
@@ -225,7 +225,7 @@
 // isMalformed tells whether a connection's reader ended by what the peer sent, and not by
 // the peer's leaving.
 func isMalformed(err error) bool {
-	bad := (*link.Malformed)(nil)
+	bad := (*link.MalformedError)(nil)
 	return errors.As(err, &bad)
 }
 
@@ -236,12 +236,12 @@
 	if a.Verdict != dispatch.Served {
 		body = []byte(a.Reason + "\n")
 	}
-	last := m.Close || a.InvalidRequest || t.server.Leaving() && !t.Waiting()
+	last := m.Close || a.InvalidRequest || t.server.ClosingConns() && !t.HasPendingInput()
 	return t.answer(statusOf(a), body, a.RetryAfter, last)
 }
 
 func (t *clientConn) reply(m *Message, status int, text string) (goes bool) {
-	last := m.Close || t.server.Draining() && !t.Waiting()
+	last := m.Close || t.server.Draining() && !t.HasPendingInput()
 	return t.answer(status, []byte(text+"\n"), 0, last)
 }
 
@@ -263,7 +263,7 @@
 
 // write sends one answer. A client that does not read it holds up its own connection only.
 func (t *clientConn) write(data []byte) bool {
-	_, err := link.Write(t.Conn, data)
+	_, err := link.WriteWithTimeout(t.Conn, data)
 	t.wrote = err == nil
 	return t.wrote
 }
@@ -278,5 +278,5 @@
 	if len(id) == 0 || len(from) == 0 || len(state) == 0 {
 		return false, errors.New("id, from or state: missing")
 	}
-	return s.workers.Event(string(id), string(from), string(state), v.GetFloat64("share"), v.GetStringBytes("result"))
+	return s.workers.HandleEvent(string(id), string(from), string(state), v.GetFloat64("share"), v.GetStringBytes("result"))
 }
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -55,7 +55,7 @@
 }
 
 // NewWorkers returns a driver that holds at most so many connections.
-func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.Dial, most int) *Workers {
+func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.DialFunc, most int) *Workers {
 	s := core.Settings()
 	return &Workers{core: core, log: log, calls: map[callKey]*call{}, attempts: map[*dispatch.Attempt]*call{},
 		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdleTimeout, most)}
@@ -64,8 +64,8 @@
 // Run keeps the pool tidy until the context ends.
 func (r *Workers) Run(ctx context.Context) { r.pool.Sweep(ctx) }
 
-// Bound has connections to workers opened within a limit. It is called before Run.
-func (r *Workers) Bound(l link.Limit) { r.pool.Bound(l) }
+// SetConnLimit has connections to workers opened within a limit. It is called before Run.
+func (r *Workers) SetConnLimit(l link.ConnLimit) { r.pool.SetLimit(l) }
 
 // Start carries an attempt to its worker.
 func (r *Workers) Start(t *dispatch.Attempt) {
@@ -97,7 +97,7 @@
 	// A write cut short proves that the worker never had the whole request.
 	c.attempt.RecordEvent(dispatch.Connected)
 	data := q.encode(c.attempt.Remaining(), c.attempt.TraceParent)
-	if n, err := link.Write(conn, data); n < len(data) {
+	if n, err := link.WriteWithTimeout(conn, data); n < len(data) {
 		_ = conn.Close()
 		r.logAttempt(c, "request cut short", err)
 		r.end(c, balance.StatusUnreachable, nil)
@@ -125,14 +125,14 @@
 }
 
 // connect returns a connection for an attempt, or nil once it has reported why there is none.
-func (r *Workers) connect(c *call) *link.Conn[Message] {
+func (r *Workers) connect(c *call) *link.PoolConn[Message] {
 	conn, err := r.pool.Get(c.ctx, c.attempt.Worker.Addr)
 	switch {
 	case err == nil:
 		return conn
 	case c.ctx.Err() != nil: // given up before anything was sent
 		r.end(c, balance.StatusNotSent, nil)
-	case errors.Is(err, link.ErrHeld): // the worker has no room for us: nothing was sent
+	case errors.Is(err, link.ErrAddrLimit): // the worker has no room for us: nothing was sent
 		r.end(c, balance.StatusFull, nil)
 	default:
 		r.logAttempt(c, "worker unreachable", err)
@@ -187,7 +187,7 @@
 	return c.ended
 }
 
-func (r *Workers) release(conn *link.Conn[Message], m *Message) {
+func (r *Workers) release(conn *link.PoolConn[Message], m *Message) {
 	if m.Close {
 		_ = conn.Close()
 		return
@@ -281,7 +281,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := link.Write(conn, []byte(text)); err != nil {
+	if _, err := link.WriteWithTimeout(conn, []byte(text)); err != nil {
 		_ = conn.Close()
 		return err
 	}
@@ -297,14 +297,14 @@
 // errNotYet asks a worker to repeat its call-back.
 var errNotYet = error(&refusal{http.StatusServiceUnavailable, "this attempt has not been taken yet"})
 
-// Event takes a worker's call-back, and tells whether it matched a live attempt. One that does not is
+// HandleEvent takes a worker's call-back, and tells whether it matched a live attempt. One that does not is
 // late or repeated, or for another process at the same address; here it is dropped. It may come
 // before the 202.
 //
 // A call-back names the request and the worker, not the attempt. At a worker that had the request
 // before, one that comes before the 202 may be a repeat of the earlier attempt's: taken for this
 // one's it would end an attempt that runs. The worker repeats its own later.
-func (r *Workers) Event(id, from, state string, share float64, result []byte) (known bool, err error) {
+func (r *Workers) HandleEvent(id, from, state string, share float64, result []byte) (known bool, err error) {
 	r.mu.Lock()
 	c := r.calls[callKey{id, from}]
 	ambiguous := c != nil && c.attempt.SameWorker && !c.taken
@@ -340,5 +340,5 @@
 	for _, worker := range list {
 		listed[worker.Addr] = true
 	}
-	r.pool.Forget(listed)
+	r.pool.CloseIdleExcept(listed)
 }
