--- a/internal/background/keeper.go
+++ b/internal/background/keeper.go
@@ -29,42 +29,42 @@
 // safe on disk for the next one.
 var ErrDraining = errors.New("the dispatcher is ending")
 
-// Front submits stored jobs. Its methods are called from the keeper's goroutine.
-type Front interface {
+// JobServer submits stored jobs. Its methods are called from the keeper's goroutine.
+type JobServer interface {
 	// Offer submits a job; the front calls Keeper.Ended once for it.
 	Offer(j *jobstore.Stored, earlier *balance.PriorAttempt)
 	// Withdraw takes an offer back that has not been sent; Ended is not called for it any more.
 	Withdraw(j *jobstore.Stored)
 	// Buried tells that a job has ended among the dead letters: whoever waits is told.
-	Buried(j *jobstore.Stored, reason string)
+	DeadLettered(j *jobstore.Stored, reason string)
 	// Missing tells that a job which the front wanted promoted has ended meanwhile.
-	Missing(handle string)
+	JobNotFound(handle string)
 	// Class is the class of a function, or nil where it is not served any more.
 	Class(function string) *balance.Class
 }
 
 // Options of a keeper.
 type Options struct {
-	Store  *jobstore.Store
-	Limits recovery.Limits
-	Pace   recovery.PaceLimits
-	Seed   uint64
-	Clock  dispatch.Clock
-	Wall   func() time.Time // the system's clock as it reads now, time.Now where nil
-	Log    *slog.Logger
+	Store     *jobstore.Store
+	Limits    recovery.Limits
+	Pace      recovery.PacerLimits
+	Seed      uint64
+	Clock     dispatch.Clock
+	WallClock func() time.Time // the system's clock as it reads now, time.Now where nil
+	Log       *slog.Logger
 }
 
-// Keeper offers stored jobs. Its methods do not wait for the disk but where they say so.
-type Keeper struct {
+// Scheduler offers stored jobs. Its methods do not wait for the disk but where they say so.
+type Scheduler struct {
 	o       Options
-	front   Front
+	front   JobServer
 	planner *recovery.Planner // the loop's own
 	started time.Duration
 	wake    chan struct{}
 	ended   chan struct{}
 
 	mu       sync.Mutex
-	pace     *recovery.Pace
+	pace     *recovery.Pacer
 	held     map[uint64]*flight // read, offered or being settled: not to be read again
 	ready    []*flight
 	ends     []end
@@ -76,8 +76,8 @@
 
 // Counts of what the keeper did since the start.
 type Counts struct {
-	Offered, Served, Retried, Buried int
-	Window, Cuts                     int
+	Offered, Served, Retried, DeadLettered int
+	Window, Cuts                           int
 }
 
 // flight is a job that the keeper has in hand.
@@ -95,38 +95,38 @@
 
 type end struct {
 	id    uint64
-	how   recovery.End
+	how   recovery.Outcome
 	after time.Duration
 }
 
 // New returns a keeper that does nothing until Run.
-func New(o Options, f Front) *Keeper {
-	if o.Wall == nil {
-		o.Wall = time.Now
+func New(o Options, f JobServer) *Scheduler {
+	if o.WallClock == nil {
+		o.WallClock = time.Now
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Keeper{o: o, front: f, planner: recovery.New(o.Limits, o.Seed), started: o.Clock.Now(), wake: make(chan struct{}, 1),
-		ended: make(chan struct{}), pace: recovery.NewPace(o.Pace), held: map[uint64]*flight{}}
+	return &Scheduler{o: o, front: f, planner: recovery.NewPlanner(o.Limits, o.Seed), started: o.Clock.Now(), wake: make(chan struct{}, 1),
+		ended: make(chan struct{}), pace: recovery.NewPacer(o.Pace), held: map[uint64]*flight{}}
 }
 
 // Admit tells at once whether one more job of so many bytes could be stored.
-func (k *Keeper) Admit(size int) error { return k.o.Store.Admit(size) }
+func (k *Scheduler) Admit(size int) error { return k.o.Store.Admit(size) }
 
-// Number gives a job its number.
-func (k *Keeper) Number() uint64 { return k.o.Store.Number() }
+// NextID gives a job its number.
+func (k *Scheduler) NextID() uint64 { return k.o.Store.Number() }
 
 // Now is the clock that due times of the keeper's own are read by.
-func (k *Keeper) Now() time.Duration { return k.o.Clock.Now() }
+func (k *Scheduler) Now() time.Duration { return k.o.Clock.Now() }
 
-// Wall is the system's clock.
-func (k *Keeper) Wall() time.Time { return k.o.Wall() }
+// WallTime is the system's clock.
+func (k *Scheduler) WallTime() time.Time { return k.o.WallClock() }
 
 // Accept stores a job. done is called once, on the store's goroutine; without an error the job
 // is on disk. offered tells that the front has submitted it already, and then st says what has
 // been sent. Accept may wait for the store's queue.
-func (k *Keeper) Accept(j *jobstore.Job, st *jobstore.State, offered bool, done func(error)) {
+func (k *Scheduler) Accept(j *jobstore.Job, st *jobstore.State, offered bool, done func(error)) {
 	if offered {
 		k.mu.Lock()
 		copied := *st
@@ -142,7 +142,7 @@
 			k.mu.Lock()
 			if f := k.held[j.ID]; f != nil {
 				delete(k.held, j.ID)
-				k.pace.Ended(k.Now(), f.sent, recovery.HasFailed)
+				k.pace.Ended(k.Now(), f.sent, recovery.OutcomeFailed)
 			}
 			k.mu.Unlock()
 		}
@@ -153,31 +153,31 @@
 	})
 }
 
-func (k *Keeper) poke() {
+func (k *Scheduler) poke() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Ended takes the end of an offer. It never waits.
-func (k *Keeper) Ended(id uint64, how recovery.End, retryAfter time.Duration) {
+// OfferEnded takes the end of an offer. It never waits.
+func (k *Scheduler) OfferEnded(id uint64, how recovery.Outcome, retryAfter time.Duration) {
 	k.mu.Lock()
 	k.ends = append(k.ends, end{id, how, retryAfter})
 	k.mu.Unlock()
 	k.poke()
 }
 
-// Foreground notes how long a foreground job waited for its first send. It never waits.
-func (k *Keeper) Foreground(waited time.Duration) {
+// ForegroundWaited notes how long a foreground job waited for its first send. It never waits.
+func (k *Scheduler) ForegroundWaited(waited time.Duration) {
 	k.mu.Lock()
-	k.pace.Foreground(k.Now(), waited)
+	k.pace.ForegroundWaited(k.Now(), waited)
 	k.mu.Unlock()
 }
 
 // Promote offers a stored job next, since a client waits for it now. One that is not due by its
 // client's own word waits on.
-func (k *Keeper) Promote(id uint64, handle string) {
+func (k *Scheduler) Promote(id uint64, handle string) {
 	k.mu.Lock()
 	k.asked = append(k.asked, asked{id, handle})
 	k.mu.Unlock()
@@ -185,7 +185,7 @@
 }
 
 // Drain stops offering. What has not been sent is taken back; it stays stored.
-func (k *Keeper) Drain() {
+func (k *Scheduler) Drain() {
 	k.mu.Lock()
 	k.draining = true
 	var back []*jobstore.Stored
@@ -203,7 +203,7 @@
 }
 
 // Counts tells what was done since the start.
-func (k *Keeper) Counts() Counts {
+func (k *Scheduler) Counts() Counts {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.counts
@@ -212,4 +212,4 @@
 }
 
 // Store is the store that the keeper works on.
-func (k *Keeper) Store() *jobstore.Store { return k.o.Store }
+func (k *Scheduler) Store() *jobstore.Store { return k.o.Store }
--- a/internal/background/keeper_test.go
+++ b/internal/background/keeper_test.go
@@ -35,9 +35,9 @@
 func (f *front) Offer(j *jobstore.Stored, _ *balance.PriorAttempt) {
 	f.note(func() { f.offers = append(f.offers, j.Job.ID) })
 }
-func (f *front) Withdraw(j *jobstore.Stored)         { f.note(func() { f.back = append(f.back, j.Job.ID) }) }
-func (f *front) Buried(j *jobstore.Stored, r string) { f.note(func() { f.buried[j.Job.ID] = r }) }
-func (f *front) Missing(handle string)               { f.note(func() { f.missing = append(f.missing, handle) }) }
+func (f *front) Withdraw(j *jobstore.Stored)               { f.note(func() { f.back = append(f.back, j.Job.ID) }) }
+func (f *front) DeadLettered(j *jobstore.Stored, r string) { f.note(func() { f.buried[j.Job.ID] = r }) }
+func (f *front) JobNotFound(handle string)                 { f.note(func() { f.missing = append(f.missing, handle) }) }
 func (f *front) Class(string) *balance.Class {
 	return &balance.Class{Name: "f", Idempotency: balance.Deduplicated, DedupScope: balance.ScopeCell, DedupWindow: time.Minute}
 }
@@ -50,7 +50,7 @@
 var errDisk = errors.New("no space left on device")
 
 type bench struct {
-	*Keeper
+	*Scheduler
 	f    *front
 	full atomic.Bool
 	wall atomic.Int64
@@ -67,17 +67,17 @@
 		return nil
 	}})
 	require.NoError(t, err)
-	b.Keeper = New(Options{Store: s, Clock: clock, Wall: func() time.Time { return time.Unix(0, b.wall.Load()) },
-		Limits: recovery.Limits{Offers: 3, Sends: 10, Base: time.Millisecond, Most: 2 * time.Millisecond},
-		Pace:   recovery.PaceLimits{Window: 8, Waiting: 8}}, b.f)
+	b.Scheduler = New(Options{Store: s, Clock: clock, WallClock: func() time.Time { return time.Unix(0, b.wall.Load()) },
+		Limits: recovery.Limits{MaxOffers: 3, MaxSends: 10, BaseBackoff: time.Millisecond, MaxBackoff: 2 * time.Millisecond},
+		Pace:   recovery.PacerLimits{MaxWindow: 8, MaxUnsent: 8}}, b.f)
 	ctx, stop := context.WithCancel(t.Context())
 	go b.Run(ctx)
-	t.Cleanup(func() { stop(); b.Stopped(); require.NoError(t, s.Close()) })
+	t.Cleanup(func() { stop(); b.Wait(); require.NoError(t, s.Close()) })
 	return b
 }
 
 func (b *bench) accept(t *testing.T, due time.Time) uint64 {
-	id, now := b.Number(), b.Now()
+	id, now := b.NextID(), b.Now()
 	st := &jobstore.State{Due: now}
 	if !due.IsZero() {
 		st.Due, st.Timed = time.Duration(due.UnixNano()), true
@@ -101,12 +101,12 @@
 	id := b.accept(t, time.Time{})
 	eventually(t, "offered", func() bool { return b.f.offered() == 1 })
 	b.full.Store(true)
-	require.ErrorIs(t, b.Sending(t.Context(), id, jobstore.Send{Region: "a", At: b.Now()}), errDisk)
+	require.ErrorIs(t, b.RecordSend(t.Context(), id, jobstore.Send{Region: "a", At: b.Now()}), errDisk)
 	require.ErrorIs(t, b.Admit(1), jobstore.ErrUnavailable, "new jobs are turned away at once")
 	b.full.Store(false)
-	require.NoError(t, b.Sending(t.Context(), id, jobstore.Send{Region: "a", At: b.Now()}))
+	require.NoError(t, b.RecordSend(t.Context(), id, jobstore.Send{Region: "a", At: b.Now()}))
 	b.full.Store(true)
-	b.Ended(id, recovery.Served, 0)
+	b.OfferEnded(id, recovery.OutcomeServed, 0)
 	time.Sleep(3 * unstickEvery / 2)
 	require.Equal(t, 1, b.f.offered())
 	require.Equal(t, 1, b.Store().Counts().Jobs)
@@ -128,7 +128,7 @@
 	require.Zero(t, b.f.offered())
 	b.wall.Store(now.Add(61 * time.Minute).UnixNano())
 	eventually(t, "offered", func() bool { return b.f.offered() == 1 })
-	b.Ended(1, recovery.WasRefused, 0) // from now on its waits are the process's
+	b.OfferEnded(1, recovery.OutcomeRefused, 0) // from now on its waits are the process's
 	b.wall.Store(now.Add(-time.Hour).UnixNano())
 	eventually(t, "offered again", func() bool { return b.f.offered() == 2 })
 }
@@ -139,11 +139,11 @@
 	id := b.accept(t, time.Time{})
 	for n := 1; n <= 3; n++ {
 		eventually(t, "offered", func() bool { return b.f.offered() == n })
-		b.Ended(id, recovery.WasRefused, 0)
-		b.Ended(id, recovery.WasRefused, 0)
+		b.OfferEnded(id, recovery.OutcomeRefused, 0)
+		b.OfferEnded(id, recovery.OutcomeRefused, 0)
 	}
 	eventually(t, "dead", func() bool { return b.Store().Counts().Dead == 1 })
-	b.f.note(func() { require.Equal(t, map[uint64]string{id: recovery.Refused}, b.f.buried) })
+	b.f.note(func() { require.Equal(t, map[uint64]string{id: recovery.ReasonRefused}, b.f.buried) })
 	require.Equal(t, 3, b.f.offered())
 	b.Promote(id, "h1")
 	eventually(t, "a dead one is missing", func() bool { b.f.mu.Lock(); defer b.f.mu.Unlock(); return len(b.f.missing) == 1 })
@@ -153,8 +153,8 @@
 	eventually(t, "released", func() bool { return b.f.offered() == 4 })
 	require.NoError(t, b.Cancel("h1"))
 	require.ErrorIs(t, b.Cancel("h1"), jobstore.ErrUnknown)
-	b.Ended(id, recovery.Served, 0)
-	require.ErrorIs(t, b.Sending(t.Context(), id, jobstore.Send{}), jobstore.ErrUnknown, "a cancelled job leaves no more")
+	b.OfferEnded(id, recovery.OutcomeServed, 0)
+	require.ErrorIs(t, b.RecordSend(t.Context(), id, jobstore.Send{}), jobstore.ErrUnknown, "a cancelled job leaves no more")
 	require.Zero(t, b.Store().Counts().Jobs)
 }
 
@@ -163,12 +163,12 @@
 	b := begin(t)
 	unsent, sent := b.accept(t, time.Time{}), b.accept(t, time.Time{})
 	eventually(t, "one offered", func() bool { return b.f.offered() == 1 }) // the window begins at one
-	require.NoError(t, b.Sending(t.Context(), unsent, jobstore.Send{Region: "a"}))
-	b.Ended(unsent, recovery.Served, 0)
+	require.NoError(t, b.RecordSend(t.Context(), unsent, jobstore.Send{Region: "a"}))
+	b.OfferEnded(unsent, recovery.OutcomeServed, 0)
 	eventually(t, "the other offered", func() bool { return b.f.offered() == 2 })
 	b.Drain()
 	b.f.note(func() { require.Equal(t, []uint64{sent}, b.f.back) })
-	require.ErrorIs(t, b.Sending(t.Context(), sent, jobstore.Send{Region: "a"}), ErrDraining)
+	require.ErrorIs(t, b.RecordSend(t.Context(), sent, jobstore.Send{Region: "a"}), ErrDraining)
 	b.accept(t, time.Time{})
 	time.Sleep(100 * time.Millisecond)
 	require.Equal(t, 2, b.f.offered())
--- a/internal/background/loop.go
+++ b/internal/background/loop.go
@@ -11,7 +11,7 @@
 )
 
 // Run offers jobs until the context ends, then writes down what has ended.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Scheduler) Run(ctx context.Context) {
 	defer close(k.ended)
 	go func() {
 		if n, err := k.o.Store.Verify(ctx); err == nil && n > 0 {
@@ -37,11 +37,11 @@
 	}
 }
 
-// Stopped waits until Run has ended.
-func (k *Keeper) Stopped() { <-k.ended }
+// Wait waits until Run has ended.
+func (k *Scheduler) Wait() { <-k.ended }
 
 // turn does what there is to do and tells how long it can wait then.
-func (k *Keeper) turn() (wait time.Duration) {
+func (k *Scheduler) turn() (wait time.Duration) {
 	k.mu.Lock()
 	ends, asked, draining := k.ends, k.asked, k.draining
 	k.ends, k.asked = nil, nil
@@ -55,7 +55,7 @@
 	wait = look
 	for !draining {
 		k.mu.Lock()
-		may, later := k.pace.May(k.Now())
+		may, later := k.pace.CanOffer(k.Now())
 		var f *flight
 		if may && len(k.ready) > 0 {
 			f, k.ready = k.ready[0], k.ready[1:]
@@ -84,13 +84,13 @@
 }
 
 // read fetches jobs that are due, and tells when the next will be where there are none.
-func (k *Keeper) read() (next time.Duration, more bool) {
+func (k *Scheduler) read() (next time.Duration, more bool) {
 	skip := func(id uint64) bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.held[id] != nil
 	}
-	due, next, err := k.o.Store.Due(k.Now(), time.Duration(k.o.Wall().UnixNano()), k.planner.Most+k.planner.Expiry, page, skip)
+	due, next, err := k.o.Store.Due(k.Now(), time.Duration(k.o.WallClock().UnixNano()), k.planner.MaxBackoff+k.planner.Expiry, page, skip)
 	if err != nil { // the store has said so in the log
 		return 0, false
 	}
@@ -105,22 +105,22 @@
 }
 
 // plan is what recovery is told of a job.
-func (k *Keeper) plan(j *jobstore.Stored, c *balance.Class) *recovery.Job {
-	p := &recovery.Job{Effect: c.Idempotency, Group: c.DedupScope, Span: c.DedupWindow, Since: j.Job.Accepted, Offers: j.State.Offers,
-		Sends: j.State.Sends, Unclear: j.Lost}
+func (k *Scheduler) plan(j *jobstore.Stored, c *balance.Class) *recovery.Job {
+	p := &recovery.Job{Effect: c.Idempotency, Group: c.DedupScope, DedupWindow: c.DedupWindow, EligibleAt: j.Job.Accepted, Offers: j.State.Offers,
+		Sends: j.State.Sends, HistoryUnknown: j.Lost}
 	if j.Job.Timed {
-		p.Since = max(p.Since, j.State.Due)
+		p.EligibleAt = max(p.EligibleAt, j.State.Due)
 	}
-	p.Since = max(p.Since, j.State.Released)
+	p.EligibleAt = max(p.EligibleAt, j.State.Released)
 	if s := j.State.First; s != nil {
-		p.First = &recovery.Send{Zone: s.Zone, Cell: s.Cell, At: s.At}
-		p.Unclear = p.Unclear || k.o.Store.ClockBack() && s.At < k.started
+		p.FirstSend = &recovery.Send{Zone: s.Zone, Cell: s.Cell, At: s.At}
+		p.HistoryUnknown = p.HistoryUnknown || k.o.Store.ClockBack() && s.At < k.started
 	}
 	return p
 }
 
 // offer gives a job to the front, or ends it.
-func (k *Keeper) offer(f *flight) {
+func (k *Scheduler) offer(f *flight) {
 	now := k.Now()
 	c := k.front.Class(f.job.Job.Function)
 	k.mu.Lock()
@@ -131,11 +131,11 @@
 		k.mu.Unlock()
 		return
 	}
-	d := recovery.Decision{Do: recovery.Bury, Reason: recovery.Orphan}
+	d := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
 	if c != nil {
-		d = k.planner.Before(now, k.plan(f.job, c))
+		d = k.planner.BeforeOffer(now, k.plan(f.job, c))
 	}
-	if d.Do == recovery.Bury {
+	if d.Action == recovery.ActionDeadLetter {
 		k.mu.Unlock()
 		k.bury(f, d.Reason)
 		return
@@ -147,7 +147,7 @@
 	k.front.Offer(f.job, d.Earlier)
 }
 
-func (k *Keeper) promote(a asked, draining bool) {
+func (k *Scheduler) promote(a asked, draining bool) {
 	id := a.id
 	k.mu.Lock()
 	f := k.held[id]
@@ -163,7 +163,7 @@
 		over := f.over
 		k.mu.Unlock()
 		if over {
-			k.front.Missing(a.handle)
+			k.front.JobNotFound(a.handle)
 		}
 		return
 	}
@@ -174,12 +174,12 @@
 	j, err := k.o.Store.Get(id)
 	switch {
 	case errors.Is(err, jobstore.ErrUnknown) || err == nil && j.State.Dead != "": // it has ended meanwhile
-		k.front.Missing(a.handle)
+		k.front.JobNotFound(a.handle)
 		return
 	case err != nil: // the store has said so in the log
 		return
 	}
-	if j.State.Timed && j.State.Due > time.Duration(k.o.Wall().UnixNano()) {
+	if j.State.Timed && j.State.Due > time.Duration(k.o.WallClock().UnixNano()) {
 		return
 	}
 	f = &flight{job: j}
@@ -190,7 +190,7 @@
 }
 
 // settle writes down what an offer's end comes to.
-func (k *Keeper) settle(e end) {
+func (k *Scheduler) settle(e end) {
 	now := k.Now()
 	k.mu.Lock()
 	f := k.held[e.id]
@@ -200,30 +200,30 @@
 	}
 	k.pace.Ended(now, f.sent, e.how)
 	f.offered = false
-	if k.draining && e.how != recovery.Served { // it stays as it is written
+	if k.draining && e.how != recovery.OutcomeServed { // it stays as it is written
 		delete(k.held, e.id)
 		k.mu.Unlock()
 		return
 	}
 	f.job.State.Offers++
-	d := recovery.Decision{Do: recovery.Bury, Reason: recovery.Orphan}
+	d := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
 	if c := k.front.Class(f.job.Job.Function); c != nil {
-		d = k.planner.After(now, k.plan(f.job, c), e.how, e.after)
+		d = k.planner.AfterOffer(now, k.plan(f.job, c), e.how, e.after)
 	}
-	switch d.Do {
-	case recovery.Done:
+	switch d.Action {
+	case recovery.ActionDone:
 		f.over = true
 		k.counts.Served++
-	case recovery.Wait, recovery.Offer:
+	case recovery.ActionWait, recovery.ActionOffer:
 		k.counts.Retried++
 		again(f.job.State, max(d.At, now))
 	}
 	due := f.job.State.Due
 	k.mu.Unlock()
-	switch d.Do {
-	case recovery.Done:
+	switch d.Action {
+	case recovery.ActionDone:
 		k.write(e.id, func(done func(error)) { k.o.Store.Remove(e.id, done) })
-	case recovery.Bury:
+	case recovery.ActionDeadLetter:
 		k.bury(f, d.Reason)
 	default:
 		k.write(e.id, func(done func(error)) {
@@ -244,15 +244,15 @@
 	st.Due, st.Timed = due, false
 }
 
-func (k *Keeper) bury(f *flight, reason string) {
+func (k *Scheduler) bury(f *flight, reason string) {
 	now, id := k.Now(), f.job.Job.ID
 	k.mu.Lock()
 	f.over = true
 	f.job.State.Dead = reason
-	k.counts.Buried++
+	k.counts.DeadLettered++
 	k.mu.Unlock()
 	k.o.Log.Warn("background job is dead", "handle", f.job.Job.Handle, "function", f.job.Job.Function, "why", reason)
-	k.front.Buried(f.job, reason)
+	k.front.DeadLettered(f.job, reason)
 	lost, state := f.job.Lost, *f.job.State
 	k.write(id, func(done func(error)) {
 		if lost { // there is no state to change: it is written anew
@@ -267,7 +267,7 @@
 
 // write makes a change that must come to be. Until the store has taken it the job stays held,
 // so that it cannot be offered again by what is still written.
-func (k *Keeper) write(id uint64, change func(done func(error))) {
+func (k *Scheduler) write(id uint64, change func(done func(error))) {
 	change(func(err error) {
 		k.mu.Lock()
 		if err != nil && !errors.Is(err, jobstore.ErrUnknown) && !errors.Is(err, jobstore.ErrClosed) {
@@ -280,7 +280,7 @@
 	})
 }
 
-func (k *Keeper) retryStuck() {
+func (k *Scheduler) retryStuck() {
 	k.mu.Lock()
 	stuck := k.stuck
 	k.stuck = nil
--- a/internal/background/manual.go
+++ b/internal/background/manual.go
@@ -7,7 +7,7 @@
 
 // Cancel forgets a job, wherever it is, and waits until that is on disk. An offer of it is the
 // front's to take back, and needs no Ended any more.
-func (k *Keeper) Cancel(handle string) error {
+func (k *Scheduler) Cancel(handle string) error {
 	j, err := k.o.Store.Handle(handle)
 	if err != nil {
 		return err
@@ -20,7 +20,7 @@
 		k.held[id] = f
 	}
 	if f.offered && !f.over {
-		k.pace.Ended(k.Now(), f.sent, recovery.HasFailed)
+		k.pace.Ended(k.Now(), f.sent, recovery.OutcomeFailed)
 	}
 	f.over, f.offered = true, false
 	k.mu.Unlock()
@@ -34,7 +34,7 @@
 
 // Release gives a dead letter its life back, from the beginning: whoever does so says that a
 // repeat is harmless. It waits until that is on disk.
-func (k *Keeper) Release(handle string) error {
+func (k *Scheduler) Release(handle string) error {
 	j, err := k.o.Store.Handle(handle)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 }
 
 // ReleaseAll releases every dead letter and tells how many there were.
-func (k *Keeper) ReleaseAll() (n int, err error) {
+func (k *Scheduler) ReleaseAll() (n int, err error) {
 	for {
 		var handles []string
 		if err := k.o.Store.List(true, page, func(j *jobstore.Stored) { handles = append(handles, j.Job.Handle) }); err != nil {
--- a/internal/background/sending.go
+++ b/internal/background/sending.go
@@ -7,9 +7,9 @@
 	"tinroute.example/tinroute/internal/jobstore"
 )
 
-// Sending writes down that an attempt is about to leave, and waits until that is on disk.
+// RecordSend writes down that an attempt is about to leave, and waits until that is on disk.
 // After an error it must not be sent.
-func (k *Keeper) Sending(ctx context.Context, id uint64, s jobstore.Send) error {
+func (k *Scheduler) RecordSend(ctx context.Context, id uint64, s jobstore.Send) error {
 	k.mu.Lock()
 	f := k.held[id]
 	switch {
@@ -45,9 +45,9 @@
 	st.Last = &s
 }
 
-// NeverRan takes back the note of a task whose outcome proves that it had no effect. There is
+// RetractSend takes back the note of a task whose outcome proves that it had no effect. There is
 // only ever one of these out for a job whose class minds, so it is the latest.
-func (k *Keeper) NeverRan(id uint64) {
+func (k *Scheduler) RetractSend(id uint64) {
 	k.mu.Lock()
 	f := k.held[id]
 	minds := false
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -221,8 +221,8 @@
 			p("  background jobs are off: no [store] is named")
 		} else {
 			p("  background jobs are kept in %s: %d at most, %d MB of data, %d offers each, dead after %v", g.Store.Path, g.Store.MaxJobs, g.Store.MaxBytes>>20,
-				g.Retry.Offers, g.Retry.Expiry)
-			p("  offered at most %g a second, %d at once", g.Pace.Rate, g.Pace.Window)
+				g.Retry.MaxOffers, g.Retry.Expiry)
+			p("  offered at most %g a second, %d at once", g.Pace.Rate, g.Pace.MaxWindow)
 		}
 	} else {
 		p("Gearman: off")
--- a/internal/config/gearman.go
+++ b/internal/config/gearman.go
@@ -50,7 +50,7 @@
 	Limits      jobindex.Limits
 	Store       *Store // nil where background jobs are off
 	Retry       recovery.Limits
-	Pace        recovery.PaceLimits
+	Pace        recovery.PacerLimits
 }
 
 // Function holds what a Gearman job, which says nothing of these, is taken to ask for.
@@ -137,17 +137,17 @@
 	}
 	g.Limits.Jobs = int(c.count("limits.jobs", file.Limits.Jobs, defaultJobs, 1<<30))
 	g.Limits.Bytes = int(c.count("limits.bytes", file.Limits.Bytes, defaultBytes, 1<<40))
-	g.Retry = recovery.Limits{Offers: int(c.count("retry.offers", file.Retry.Offers, defaultOffers, 1000)),
-		Sends: int(c.count("retry.sends", file.Retry.Sends, defaultSends, 10_000)),
-		Base:  c.time("retry.backoff", file.Retry.Backoff, defaultBackoff), Most: c.time("retry.backoff_most", file.Retry.Most, defaultBackoffTop),
+	g.Retry = recovery.Limits{MaxOffers: int(c.count("retry.offers", file.Retry.Offers, defaultOffers, 1000)),
+		MaxSends:    int(c.count("retry.sends", file.Retry.Sends, defaultSends, 10_000)),
+		BaseBackoff: c.time("retry.backoff", file.Retry.Backoff, defaultBackoff), MaxBackoff: c.time("retry.backoff_most", file.Retry.Most, defaultBackoffTop),
 		Expiry: c.time("retry.expiry", file.Retry.Expiry, defaultExpiry)}
-	if g.Retry.Most < g.Retry.Base {
-		c.fail("retry.backoff_most: %v is under retry.backoff", g.Retry.Most)
+	if g.Retry.MaxBackoff < g.Retry.BaseBackoff {
+		c.fail("retry.backoff_most: %v is under retry.backoff", g.Retry.MaxBackoff)
 	}
-	g.Pace = recovery.PaceLimits{Window: int(c.count("pace.window", file.Pace.Window, defaultWindow, 4096)),
-		Waiting: int(c.count("pace.unsent", file.Pace.Unsent, defaultUnsent, 4096)),
-		Rate:    float64(c.count("pace.rate", file.Pace.Rate, defaultRate, 1_000_000)),
-		Wait:    c.time("pace.foreground_wait", file.Pace.Wait, defaultWait)}
+	g.Pace = recovery.PacerLimits{MaxWindow: int(c.count("pace.window", file.Pace.Window, defaultWindow, 4096)),
+		MaxUnsent:         int(c.count("pace.unsent", file.Pace.Unsent, defaultUnsent, 4096)),
+		Rate:              float64(c.count("pace.rate", file.Pace.Rate, defaultRate, 1_000_000)),
+		MaxForegroundWait: c.time("pace.foreground_wait", file.Pace.Wait, defaultWait)}
 	st := &Store{Path: file.Store.Path, MaxJobs: int(c.count("store.max_jobs", file.Store.MaxJobs, defaultStoredJobs, 1<<40)),
 		MaxBytes: c.count("store.max_bytes", file.Store.MaxBytes, defaultStored, 1<<50)}
 	if file.Store.MaxFile != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -196,7 +196,7 @@
 		MaxFile: g.Store.MaxFile, Now: clock.Now, Log: log})
 	if err != nil {
 		log.Error("job store not opened", "file", g.Store.Path, "err", err)
-		o.Down = err
+		o.StoreErr = err
 		return func() {}, func() {}
 	}
 	c := store.Counts()
@@ -204,14 +204,14 @@
 	if store.ClockBack() {
 		log.Warn("clock set back", "file", g.Store.Path)
 	}
-	var keeper *background.Keeper
-	o.Keeper = func(f background.Front) *background.Keeper {
+	var keeper *background.Scheduler
+	o.NewScheduler = func(f background.JobServer) *background.Scheduler {
 		keeper = background.New(background.Options{Store: store, Limits: g.Retry, Pace: g.Pace, Seed: d.Config.Settings.Seed,
-			Clock: clock, Wall: d.Wall, Log: log}, f)
+			Clock: clock, WallClock: d.Wall, Log: log}, f)
 		return keeper
 	}
 	return func() { go keeper.Run(ctx) }, func() {
-		keeper.Stopped()
+		keeper.Wait()
 		if err := store.Close(); err != nil {
 			log.Error("job store not closed", "err", err)
 		}
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -160,14 +160,14 @@
 		return nil
 	}
 	log := r.Log.With("front", "gearman")
-	core, err := r.core(r.inner, "gearman", r.Gearman.Hooks, r.spans, log, gearman.NewWatch())
+	core, err := r.core(r.inner, "gearman", r.Gearman.Hooks, r.spans, log, gearman.NewSendObserver())
 	if err != nil {
 		return err
 	}
 	connections := r.sockets - r.terminals
 	workers := gearman.NewWorkers(core, log, r.Dial, connections)
 	terminals := cmp.Or(r.Gearman.Connections, r.terminals)
-	o := gearman.Options{Log: log, File: r.Gearman, Name: r.Config.Name, Most: terminals, Workers: workers.Serving, Shutdown: r.end}
+	o := gearman.Options{Log: log, Config: r.Gearman, DispatcherName: r.Config.Name, MaxConnections: terminals, Workers: workers.Serving, Shutdown: r.end}
 	run, shut := r.background(r.inner, &o, log)
 	server := gearman.NewServer(core, o)
 	run()
--- a/internal/gearman/answer.go
+++ b/internal/gearman/answer.go
@@ -28,8 +28,8 @@
 	d.plain, d.full = j.answer(a)
 	background := j.entry.Background
 	if background && a.Verdict != dispatch.Served {
-		d.to = s.book.Detach(j.entry)
-		s.book.Rest(j.entry)
+		d.to = s.book.DetachWaiters(j.entry)
+		s.book.SetQueued(j.entry)
 		s.rest(j)
 	} else {
 		d.to = s.book.Close(j.entry)
@@ -40,7 +40,7 @@
 	s.deliver(d)
 	s.mu.Unlock()
 	if background {
-		s.keeper.Ended(j.number(), ends(a), a.RetryAfter)
+		s.keeper.OfferEnded(j.number(), ends(a), a.RetryAfter)
 	}
 }
 
@@ -76,13 +76,13 @@
 	s := t.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.job.request != t.request || !s.book.Progress(t.entry, share) {
+	if t.job.request != t.request || !s.book.SetProgress(t.entry, share) {
 		return
 	}
 	d := delivery{to: map[*client]int{}}
 	d.plain = Response(WorkStatus, t.handle, percent(share), "100")
 	d.full = d.plain
-	t.entry.Each(func(c *client) {
+	t.entry.EachWaiter(func(c *client) {
 		if len(c.out) < cap(c.out)/4 { // none that the client is too slow to read
 			d.to[c]++
 		}
--- a/internal/gearman/background.go
+++ b/internal/gearman/background.go
@@ -25,7 +25,7 @@
 		return
 	}
 	c.mu.Lock()
-	if e := c.book.Find(j.function, j.unique); e != nil {
+	if e := c.book.ByKey(j.function, j.unique); e != nil {
 		o := e.Payload.(*job)
 		switch {
 		case o.put != nil: // on its way to the disk: they share its fate
@@ -39,7 +39,7 @@
 		}
 		return
 	}
-	err := c.book.MayOpen(j.function, len(j.data), c.waiting(j.function))
+	err := c.book.CheckOpen(j.function, len(j.data), c.waiting(j.function))
 	if err == nil {
 		err = c.keeper.Admit(len(j.data))
 	}
@@ -60,7 +60,7 @@
 	s.book.SetBackground(j.entry, true)
 	j.put = []func(error){reply}
 	offered := j.request != nil
-	id := s.keeper.Number()
+	id := s.keeper.NextID()
 	st := j.state(id)
 	s.mu.Unlock()
 	now := s.keeper.Now()
@@ -79,7 +79,7 @@
 	var request *dispatch.Request
 	switch {
 	case err == nil:
-	case j.entry.Waiting == 0: // no one but the submitters knew of it
+	case j.entry.WaitingSubmissions == 0: // no one but the submitters knew of it
 		s.book.Close(j.entry)
 		request, j.request = j.request, nil
 	default: // clients wait for it: it is theirs alone again
@@ -88,11 +88,11 @@
 		j.id = 0
 		j.mu.Unlock()
 	}
-	resubmit := err != nil && j.entry.Waiting > 0 && j.request == nil
+	resubmit := err != nil && j.entry.WaitingSubmissions > 0 && j.request == nil
 	if resubmit {
 		request = s.request(j, s.file.Functions[j.function])
 	}
-	promote := err == nil && j.entry.Waiting > 0 && j.unoffered()
+	promote := err == nil && j.entry.WaitingSubmissions > 0 && j.unoffered()
 	s.rest(j)
 	s.mu.Unlock()
 	for _, r := range replies {
@@ -111,7 +111,7 @@
 // rest closes the book on a stored job that nobody waits for until it is offered: a million of
 // them must not be held in memory. s.mu is held.
 func (s *Server) rest(j *job) {
-	if j.entry.Background && j.request == nil && j.put == nil && j.entry.Waiting == 0 {
+	if j.entry.Background && j.request == nil && j.put == nil && j.entry.WaitingSubmissions == 0 {
 		s.book.Close(j.entry)
 	}
 }
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -18,7 +18,7 @@
 
 // frames feeds bytes in pieces of so many and returns what comes of them.
 func frames(b []byte, piece int) (packets []string, bad error) {
-	f := NewPortFramer()
+	f := NewServerFramer()
 	for len(b) > 0 {
 		n := min(piece, len(b))
 		f.Feed(b[:n])
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	file := &config.Gearman{Functions: map[string]config.Function{"f": {Deadline: time.Second}},
 		Limits: jobindex.Limits{PerClient: 4, PerFunction: map[string]int{}}}
-	return NewServer(core, Options{Log: slog.New(slog.DiscardHandler), File: file, Name: "n0", Most: 10,
+	return NewServer(core, Options{Log: slog.New(slog.DiscardHandler), Config: file, DispatcherName: "n0", MaxConnections: 10,
 		Workers: func() []dispatch.Worker { return []dispatch.Worker{{Name: "b\n"}, {Name: "a"}} }})
 }
 
--- a/internal/gearman/job.go
+++ b/internal/gearman/job.go
@@ -52,7 +52,7 @@
 	if id == 0 {
 		return nil
 	}
-	return j.server.keeper.Sending(ctx, id, s)
+	return j.server.keeper.RecordSend(ctx, id, s)
 }
 
 // ended is told of an attempt's outcome.
@@ -67,7 +67,7 @@
 	}
 	j.mu.Unlock()
 	if id != 0 {
-		j.server.keeper.NeverRan(id)
+		j.server.keeper.RetractSend(id)
 	}
 }
 
@@ -112,9 +112,9 @@
 	return nil
 }
 
-// NewWatch returns the observer that a Server's core needs for background jobs: it tells the
+// NewSendObserver returns the observer that a Server's core needs for background jobs: it tells the
 // server when its requests are sent.
-func NewWatch() dispatch.Observer { return watch{} }
+func NewSendObserver() dispatch.Observer { return watch{} }
 
 type watch struct{}
 
@@ -138,7 +138,7 @@
 	j.left = true
 	j.mu.Unlock()
 	if first && !stored {
-		j.server.keeper.Foreground(waited)
+		j.server.keeper.ForegroundWaited(waited)
 	}
 }
 
--- a/internal/gearman/packet.go
+++ b/internal/gearman/packet.go
@@ -87,9 +87,9 @@
 	text  bool
 }
 
-// NewPortFramer frames what comes to a job server's port: packets of clients, or lines of the
+// NewServerFramer frames what comes to a job server's port: packets of clients, or lines of the
 // text protocol if the first byte is not NUL. A connection speaks one of them for good.
-func NewPortFramer() link.Framer[Packet] { return &Framer{magic: magicRequest, ask: true} }
+func NewServerFramer() link.Framer[Packet] { return &Framer{magic: magicRequest, ask: true} }
 
 // NewRequestFramer frames what a client sends to a job server.
 func NewRequestFramer() link.Framer[Packet] { return &Framer{magic: magicRequest} }
--- a/internal/gearman/promote.go
+++ b/internal/gearman/promote.go
@@ -14,7 +14,7 @@
 	late := func(reason string) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if j.unoffered() && s.book.Handle(j.handle) == j.entry {
+		if j.unoffered() && s.book.ByHandle(j.handle) == j.entry {
 			s.fail(j, reason)
 			s.rest(j)
 		}
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -44,14 +44,14 @@
 
 // Options of a Server beside its core.
 type Options struct {
-	Log      *slog.Logger
-	File     *config.Gearman
-	Name     string // the dispatcher's, part of every handle
-	Most     int    // connections at once
-	Workers  func() []dispatch.Worker
-	Keeper   func(background.Front) *background.Keeper // nil where there is no job store
-	Down     error                                     // why the job store that is configured could not be opened
-	Shutdown func()                                    // ends the process in order, for the text protocol
+	Log            *slog.Logger
+	Config         *config.Gearman
+	DispatcherName string // the dispatcher's, part of every handle
+	MaxConnections int    // connections at once
+	Workers        func() []dispatch.Worker
+	NewScheduler   func(background.JobServer) *background.Scheduler // nil where there is no job store
+	StoreErr       error                                            // why the job store that is configured could not be opened
+	Shutdown       func()                                           // ends the process in order, for the text protocol
 }
 
 // Server is the job server that Gearman clients meet.
@@ -62,7 +62,7 @@
 	file       *config.Gearman
 	server     link.Server
 	limitedLog *limitedlog.Logger
-	keeper     *background.Keeper // nil where off
+	keeper     *background.Scheduler // nil where off
 	nextJob    atomic.Uint64
 	classes    map[string]*balance.Class // by function
 
@@ -76,15 +76,15 @@
 
 // NewServer returns a server for the core, which must have NewWatch among its observers.
 func NewServer(core *dispatch.Core, o Options) *Server {
-	s := &Server{o: o, core: core, log: o.Log, file: o.File, limitedLog: limitedlog.New(o.Log, nil), dropped: map[string]bool{},
-		classes: map[string]*balance.Class{}, book: jobindex.New[*client](o.File.Limits)}
-	for name, f := range o.File.Functions {
+	s := &Server{o: o, core: core, log: o.Log, file: o.Config, limitedLog: limitedlog.New(o.Log, nil), dropped: map[string]bool{},
+		classes: map[string]*balance.Class{}, book: jobindex.New[*client](o.Config.Limits)}
+	for name, f := range o.Config.Functions {
 		s.classes[name] = &core.Settings().Classes[f.Class]
 	}
-	if o.Keeper != nil {
-		s.keeper = o.Keeper(s)
+	if o.NewScheduler != nil {
+		s.keeper = o.NewScheduler(s)
 	}
-	s.server = link.Server{Log: o.Log, MaxConns: o.Most, Handle: s.handle}
+	s.server = link.Server{Log: o.Log, MaxConns: o.MaxConnections, Handle: s.handle}
 	return s
 }
 
@@ -135,7 +135,7 @@
 		c.write()
 	}()
 	last := false // it is told why, and then closed
-	err := link.ReadMessages(c.ServerConn, NewPortFramer(), func(p *Packet) bool {
+	err := link.ReadMessages(c.ServerConn, NewServerFramer(), func(p *Packet) bool {
 		c.text = p.Text
 		if p.Text {
 			c.command(string(p.Body))
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	c.gone = true
 	var out []*dispatch.Request
-	givenUp, unwatched := s.book.Leave(c)
+	givenUp, unwatched := s.book.RemoveClient(c)
 	for _, e := range unwatched {
 		s.rest(e.Payload.(*job))
 	}
@@ -320,9 +320,9 @@
 func (s *Server) newHandle() string {
 	var n uint64
 	if s.keeper != nil {
-		n = s.keeper.Number()
+		n = s.keeper.NextID()
 	} else {
 		n = s.nextJob.Add(1)
 	}
-	return "H:" + s.o.Name + ":" + strconv.FormatUint(n, 10)
+	return "H:" + s.o.DispatcherName + ":" + strconv.FormatUint(n, 10)
 }
--- a/internal/gearman/status.go
+++ b/internal/gearman/status.go
@@ -7,9 +7,9 @@
 func (c *client) status(handle string) {
 	c.mu.Lock()
 	known, running, share := "0", "0", 0.0
-	e := c.book.Handle(handle)
+	e := c.book.ByHandle(handle)
 	if e != nil {
-		if known, share = "1", e.Share; e.Running {
+		if known, share = "1", e.Progress; e.Running {
 			running = "1"
 		}
 	}
@@ -25,9 +25,9 @@
 func (c *client) statusUnique(unique string) {
 	c.mu.Lock()
 	known, running, share, waiting := "0", "0", 0.0, 0
-	e := c.book.Unique(unique)
+	e := c.book.ByUniqueID(unique)
 	if e != nil {
-		if known, share, waiting = "1", e.Share, e.Waiting; e.Running {
+		if known, share, waiting = "1", e.Progress, e.WaitingSubmissions; e.Running {
 			running = "1"
 		}
 	}
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -13,12 +13,12 @@
 // reopen enters a stored job in the book again. s.mu is held.
 func (s *Server) reopen(o *jobstore.Stored) *job {
 	r := o.Job
-	if e := s.book.Handle(r.Handle); e != nil {
+	if e := s.book.ByHandle(r.Handle); e != nil {
 		return e.Payload.(*job)
 	}
 	j := &job{server: s, handle: r.Handle, function: r.Function, unique: r.Unique, data: string(r.Data), id: r.ID}
 	unique := r.Unique
-	if s.book.Find(r.Function, unique) != nil { // a later job has it, since this one was dead for a while
+	if s.book.ByKey(r.Function, unique) != nil { // a later job has it, since this one was dead for a while
 		unique = ""
 	}
 	j.entry = s.book.Open(r.Handle, r.Function, unique, len(r.Data), true)
@@ -45,7 +45,7 @@
 func (s *Server) Withdraw(o *jobstore.Stored) {
 	s.mu.Lock()
 	var request *dispatch.Request
-	if e := s.book.Handle(o.Job.Handle); e != nil {
+	if e := s.book.ByHandle(o.Job.Handle); e != nil {
 		j := e.Payload.(*job)
 		request, j.request = j.request, nil
 		s.fail(j, ending)
@@ -60,30 +60,30 @@
 // fail tells all who wait for a job that they wait in vain; the job itself stays. s.mu is held.
 func (s *Server) fail(j *job, reason string) {
 	plain := Response(WorkFail, j.handle)
-	s.deliver(delivery{to: s.book.Detach(j.entry), final: true, plain: plain,
+	s.deliver(delivery{to: s.book.DetachWaiters(j.entry), final: true, plain: plain,
 		full: append(Response(WorkException, j.handle, reason), plain...)})
 }
 
-// Buried tells who waits for a job that it is dead.
-func (s *Server) Buried(o *jobstore.Stored, reason string) {
+// DeadLettered tells who waits for a job that it is dead.
+func (s *Server) DeadLettered(o *jobstore.Stored, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.book.Handle(o.Job.Handle); e != nil {
+	if e := s.book.ByHandle(o.Job.Handle); e != nil {
 		s.fail(e.Payload.(*job), "dead: "+reason)
 		s.book.Close(e)
 	}
 }
 
-// Missing tells that a job which clients joined had ended: it is a new one then.
-func (s *Server) Missing(handle string) {
+// JobNotFound tells that a job which clients joined had ended: it is a new one then.
+func (s *Server) JobNotFound(handle string) {
 	s.mu.Lock()
-	e := s.book.Handle(handle)
+	e := s.book.ByHandle(handle)
 	if e == nil || e.Payload.(*job).request != nil {
 		s.mu.Unlock()
 		return
 	}
 	j := e.Payload.(*job)
-	if e.Waiting == 0 {
+	if e.WaitingSubmissions == 0 {
 		s.book.Close(e)
 		s.mu.Unlock()
 		return
@@ -100,16 +100,16 @@
 // Class is a function's class, or nil.
 func (s *Server) Class(function string) *balance.Class { return s.classes[function] }
 
-func ends(a dispatch.Answer) recovery.End {
+func ends(a dispatch.Answer) recovery.Outcome {
 	switch {
 	case a.Verdict == dispatch.Served:
-		return recovery.Served
+		return recovery.OutcomeServed
 	case a.Verdict == dispatch.Refused:
-		return recovery.WasRefused
+		return recovery.OutcomeRefused
 	case a.InvalidRequest:
-		return recovery.WasUnfit
+		return recovery.OutcomeUnfit
 	}
-	return recovery.HasFailed
+	return recovery.OutcomeFailed
 }
 
 // cancel ends a job by its handle, wherever it is, and tells who waits for it. It waits for the
@@ -117,7 +117,7 @@
 func (s *Server) cancel(handle string) error {
 	s.mu.Lock()
 	var request *dispatch.Request
-	e := s.book.Handle(handle)
+	e := s.book.ByHandle(handle)
 	background := e == nil
 	if e != nil {
 		j := e.Payload.(*job)
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if background && c.keeper == nil {
-		if c.o.Down != nil {
+		if c.o.StoreErr != nil {
 			c.turnAway(codeStore, jobstore.ErrUnavailable)
 		} else {
 			c.refuse(codeUnserved, "background jobs are not served: no job store is configured")
@@ -119,9 +119,9 @@
 	due := time.Time{}
 	switch n {
 	case 4:
-		due, err = atEpoch(args[2], c.keeper.Wall())
+		due, err = atEpoch(args[2], c.keeper.WallTime())
 	case 8:
-		due, err = atSchedule(args[2:7], c.keeper.Wall())
+		due, err = atSchedule(args[2:7], c.keeper.WallTime())
 	}
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 		return nil
 	}
 	s.mu.Lock()
-	open := s.book.Find(j.function, j.unique) != nil
+	open := s.book.ByKey(j.function, j.unique) != nil
 	s.mu.Unlock()
 	if open {
 		return nil
@@ -165,12 +165,12 @@
 func (c *client) submitForeground(j *job, f config.Function) {
 	stored := c.stored(j)
 	c.mu.Lock()
-	if err := c.book.MayWait(c); err != nil {
+	if err := c.book.CheckJoin(c); err != nil {
 		c.mu.Unlock()
 		c.turnAway(codeBusy, err)
 		return
 	}
-	e := c.book.Find(j.function, j.unique)
+	e := c.book.ByKey(j.function, j.unique)
 	if e == nil && stored != nil {
 		e = c.reopen(stored).entry
 	}
@@ -182,7 +182,7 @@
 	}
 	var request *dispatch.Request
 	if e == nil {
-		if err := c.book.MayOpen(j.function, len(j.data), c.waiting(j.function)); err != nil {
+		if err := c.book.CheckOpen(j.function, len(j.data), c.waiting(j.function)); err != nil {
 			c.mu.Unlock()
 			c.turnAway(code(err), err)
 			return
@@ -207,7 +207,7 @@
 
 func code(err error) string {
 	switch {
-	case errors.Is(err, jobindex.ErrClient):
+	case errors.Is(err, jobindex.ErrClientLimit):
 		return codeBusy
 	case errors.Is(err, jobstore.ErrUnavailable), errors.Is(err, jobstore.ErrClosed):
 		return codeStore
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -156,7 +156,7 @@
 	b := &strings.Builder{}
 	for _, name := range s.functionNames() {
 		open, running := s.book.Counts(name)
-		fmt.Fprintf(b, "%s\t%d\t%d\t%d\r\n", name, open+max(0, s.waiting(name)-s.book.Background(name)), running, workers)
+		fmt.Fprintf(b, "%s\t%d\t%d\t%d\r\n", name, open+max(0, s.waiting(name)-s.book.BackgroundCount(name)), running, workers)
 	}
 	return b.String() + textEnd
 }
@@ -271,7 +271,7 @@
 	return fmt.Sprintf("state\t%s\r\njobs\t%d\r\ndead\t%d\r\ndamaged\t%d\r\nbytes\t%d\r\nfile\t%d\r\nfree\t%d\r\ncommits\t%d\r\nwrites\t%d\r\n"+
 		"offered\t%d\r\nserved\t%d\r\nretried\t%d\r\nburied\t%d\r\nwindow\t%d\r\ncuts\t%d\r\n",
 		state, c.Jobs, c.Dead, c.Damaged, c.Bytes, c.File, c.Free, c.Commits, c.Writes,
-		k.Offered, k.Served, k.Retried, k.Buried, k.Window, k.Cuts) + textEnd
+		k.Offered, k.Served, k.Retried, k.DeadLettered, k.Window, k.Cuts) + textEnd
 }
 
 // maxqueue bounds a function's jobs. gearmand takes a bound for each priority; the first counts,
--- a/internal/jobindex/index.go
+++ b/internal/jobindex/index.go
@@ -18,23 +18,23 @@
 
 // The reasons for which a submission is turned away.
 var (
-	ErrClient   = errors.New("too many jobs are open on this connection")
-	ErrJobs     = errors.New("too many jobs are open")
-	ErrBytes    = errors.New("the open jobs hold too much data")
-	ErrFunction = errors.New("the function's queue is full")
+	ErrClientLimit   = errors.New("too many jobs are open on this connection")
+	ErrJobLimit      = errors.New("too many jobs are open")
+	ErrByteLimit     = errors.New("the open jobs hold too much data")
+	ErrFunctionLimit = errors.New("the function's queue is full")
 )
 
 // Job is one open job. The exported fields are the book's to change, but for Payload.
 type Job[W comparable] struct {
-	Handle     string
-	Function   string
-	Unique     string // empty where the job is never shared
-	Size       int    // bytes of data held for it
-	Background bool   // it goes on without any waiter
-	Running    bool
-	Share      float64 // done, 0 to 1
-	Waiting    int     // submissions that wait for its final answer
-	Payload    any     // the server's own
+	Handle             string
+	Function           string
+	Unique             string // empty where the job is never shared
+	Size               int    // bytes of data held for it
+	Background         bool   // it goes on without any waiter
+	Running            bool
+	Progress           float64 // done, 0 to 1
+	WaitingSubmissions int     // submissions that wait for its final answer
+	Payload            any     // the server's own
 
 	waiters map[W]int
 	closed  bool
@@ -69,47 +69,47 @@
 // beyond it stay.
 func (b *Index[W]) SetMaxQueue(function string, n int) { b.limits.PerFunction[function] = n }
 
-// Handle returns the open job of a handle, or nil.
-func (b *Index[W]) Handle(handle string) *Job[W] { return b.byHandle[handle] }
+// ByHandle returns the open job of a handle, or nil.
+func (b *Index[W]) ByHandle(handle string) *Job[W] { return b.byHandle[handle] }
 
-// Find returns the open job that a submission of the function and unique id is part of, or nil.
-func (b *Index[W]) Find(function, unique string) *Job[W] {
+// ByKey returns the open job that a submission of the function and unique id is part of, or nil.
+func (b *Index[W]) ByKey(function, unique string) *Job[W] {
 	if unique == "" {
 		return nil
 	}
 	return b.byKey[key{function, unique}]
 }
 
-// Unique returns the first open job of a unique id, of whichever function, or nil.
-func (b *Index[W]) Unique(unique string) *Job[W] {
+// ByUniqueID returns the first open job of a unique id, of whichever function, or nil.
+func (b *Index[W]) ByUniqueID(unique string) *Job[W] {
 	if jobs := b.byUnique[unique]; unique != "" && len(jobs) > 0 {
 		return jobs[0]
 	}
 	return nil
 }
 
-// MayWait tells whether a client may have one more submission without a final answer.
-func (b *Index[W]) MayWait(w W) error {
+// CheckJoin tells whether a client may have one more submission without a final answer.
+func (b *Index[W]) CheckJoin(w W) error {
 	if b.limits.PerClient > 0 && b.submitted[w] >= b.limits.PerClient {
-		return ErrClient
+		return ErrClientLimit
 	}
 	return nil
 }
 
-// MayOpen tells whether one more job of the size may be opened. stored is how many more jobs
+// CheckOpen tells whether one more job of the size may be opened. stored is how many more jobs
 // of the function are kept elsewhere and count too; background jobs that are open are among them.
-func (b *Index[W]) MayOpen(function string, size, stored int) error {
+func (b *Index[W]) CheckOpen(function string, size, stored int) error {
 	open := 0
 	if c := b.functions[function]; c != nil {
 		open = c.open - c.background
 	}
 	switch most := b.limits.PerFunction[function]; {
 	case most > 0 && open+stored >= most:
-		return ErrFunction
+		return ErrFunctionLimit
 	case b.limits.Jobs > 0 && len(b.byHandle) >= b.limits.Jobs:
-		return ErrJobs
+		return ErrJobLimit
 	case b.limits.Bytes > 0 && b.bytes+size > b.limits.Bytes:
-		return ErrBytes
+		return ErrByteLimit
 	}
 	return nil
 }
@@ -144,21 +144,21 @@
 	j.Background = background
 }
 
-// Detach returns a job's waiters, each with the number of its submissions, who wait no longer.
+// DetachWaiters returns a job's waiters, each with the number of its submissions, who wait no longer.
 // The job stays open.
-func (b *Index[W]) Detach(j *Job[W]) map[W]int {
+func (b *Index[W]) DetachWaiters(j *Job[W]) map[W]int {
 	for w, n := range j.waiters {
 		b.drop(j, w, n)
 	}
 	waiters := j.waiters
-	j.waiters, j.Waiting = map[W]int{}, 0
+	j.waiters, j.WaitingSubmissions = map[W]int{}, 0
 	return waiters
 }
 
 // Join makes a client wait for a job, once more for each of its submissions.
 func (b *Index[W]) Join(j *Job[W], w W) {
 	j.waiters[w]++
-	j.Waiting++
+	j.WaitingSubmissions++
 	if b.clients[w] == nil {
 		b.clients[w] = map[*Job[W]]int{}
 	}
@@ -166,34 +166,34 @@
 	b.submitted[w]++
 }
 
-// Waits is how many submissions of a client have no final answer.
-func (b *Index[W]) Waits(w W) int { return b.submitted[w] }
+// SubmissionCount is how many submissions of a client have no final answer.
+func (b *Index[W]) SubmissionCount(w W) int { return b.submitted[w] }
 
-// Progress notes how far a job is, and tells whether that is news: copies of one job tell of
+// SetProgress notes how far a job is, and tells whether that is news: copies of one job tell of
 // theirs too, and only an advance counts.
-func (b *Index[W]) Progress(j *Job[W], share float64) bool {
+func (b *Index[W]) SetProgress(j *Job[W], share float64) bool {
 	if j.closed {
 		return false
 	}
-	news := !j.Running || share > j.Share
+	news := !j.Running || share > j.Progress
 	if !j.Running {
 		j.Running = true
 		b.functions[j.Function].running++
 	}
-	j.Share = max(j.Share, share)
+	j.Progress = max(j.Progress, share)
 	return news
 }
 
-// Rest notes that a job is not running any more and waits to be tried again.
-func (b *Index[W]) Rest(j *Job[W]) {
+// SetQueued notes that a job is not running any more and waits to be tried again.
+func (b *Index[W]) SetQueued(j *Job[W]) {
 	if !j.closed && j.Running {
 		b.functions[j.Function].running--
 	}
-	j.Running, j.Share = false, 0
+	j.Running, j.Progress = false, 0
 }
 
-// Each calls f for every submission that waits for a job.
-func (j *Job[W]) Each(f func(w W)) {
+// EachWaiter calls f for every submission that waits for a job.
+func (j *Job[W]) EachWaiter(f func(w W)) {
 	for w, n := range j.waiters {
 		for range n {
 			f(w)
@@ -207,7 +207,7 @@
 	if j.closed {
 		return nil
 	}
-	b.Rest(j)
+	b.SetQueued(j)
 	b.SetBackground(j, false)
 	j.closed = true
 	delete(b.byHandle, j.Handle)
@@ -225,7 +225,7 @@
 		delete(b.functions, j.Function)
 	}
 	b.bytes -= j.Size
-	return b.Detach(j)
+	return b.DetachWaiters(j)
 }
 
 func (b *Index[W]) drop(j *Job[W], w W, n int) {
@@ -236,12 +236,12 @@
 	}
 }
 
-// Leave forgets a client and closes the jobs that no one is left to wait for, which it returns:
+// RemoveClient forgets a client and closes the jobs that no one is left to wait for, which it returns:
 // they are given up. Background jobs go on; those that no one waits for any more it returns apart.
-func (b *Index[W]) Leave(w W) (givenUp, unwatched []*Job[W]) {
+func (b *Index[W]) RemoveClient(w W) (givenUp, unwatched []*Job[W]) {
 	for j, n := range b.clients[w] {
 		delete(j.waiters, w)
-		j.Waiting -= n
+		j.WaitingSubmissions -= n
 		switch {
 		case len(j.waiters) > 0:
 		case j.Background:
@@ -264,8 +264,8 @@
 	return 0, 0
 }
 
-// Background is how many open jobs of a function go on without a waiter.
-func (b *Index[W]) Background(function string) int {
+// BackgroundCount is how many open jobs of a function go on without a waiter.
+func (b *Index[W]) BackgroundCount(function string) int {
 	if c := b.functions[function]; c != nil {
 		return c.background
 	}
--- a/internal/jobindex/index_test.go
+++ b/internal/jobindex/index_test.go
@@ -51,13 +51,13 @@
 				for _, p := range open {
 					waits += p.waiters[w]
 				}
-				require.Equal(t, waits, b.Waits(w))
-				if err := b.MayWait(w); waits >= limits.PerClient {
-					require.ErrorIs(t, err, ErrClient)
+				require.Equal(t, waits, b.SubmissionCount(w))
+				if err := b.CheckJoin(w); waits >= limits.PerClient {
+					require.ErrorIs(t, err, ErrClientLimit)
 					continue
 				}
 				p := find(function, unique)
-				require.Equal(t, p == nil, b.Find(function, unique) == nil)
+				require.Equal(t, p == nil, b.ByKey(function, unique) == nil)
 				if p == nil {
 					size := rapid.IntRange(0, 40).Draw(t, "size")
 					count, bytes := 0, 0
@@ -67,7 +67,7 @@
 							count++
 						}
 					}
-					err := b.MayOpen(function, size, 0)
+					err := b.CheckOpen(function, size, 0)
 					require.Equal(t, function == "f" && count >= 4 || len(open) >= 8 || bytes+size > 100, err != nil, "%v", err)
 					if err != nil {
 						continue
@@ -89,10 +89,10 @@
 						}
 					}
 				}
-				givenUp, unwatched := b.Leave(w)
+				givenUp, unwatched := b.RemoveClient(w)
 				for _, j := range unwatched {
 					require.True(t, j.Background)
-					require.Zero(t, j.Waiting)
+					require.Zero(t, j.WaitingSubmissions)
 				}
 				for _, j := range givenUp {
 					require.True(t, gone[j.Handle])
@@ -110,14 +110,14 @@
 				if p := pick(); p != nil {
 					b.SetBackground(p.job, true)
 					p.background = true
-					require.Equal(t, p.waiters, b.Detach(p.job))
+					require.Equal(t, p.waiters, b.DetachWaiters(p.job))
 					p.waiters = map[int]int{}
 				}
 			case 5:
 				if p := pick(); p != nil {
 					share := rapid.Float64Range(0, 1).Draw(t, "share")
-					before, running := p.job.Share, p.job.Running
-					require.Equal(t, !running || share > before, b.Progress(p.job, share))
+					before, running := p.job.Progress, p.job.Running
+					require.Equal(t, !running || share > before, b.SetProgress(p.job, share))
 				}
 			}
 			for _, f := range []string{"f", "g"} {
--- a/internal/recovery/pace.go
+++ b/internal/recovery/pace.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Pace bounds how many stored jobs are offered at once, so that a start with a million of them
+// Pacer bounds how many stored jobs are offered at once, so that a start with a million of them
 // floods neither cold regions nor the policy's queue, where foreground jobs would wait behind
 // them. It is not safe for concurrent use.
 //
@@ -10,8 +10,8 @@
 // TCP): the window grows by one for each window of results, and halves when the policy refuses an
 // offer or a foreground job has waited for room. On top stand a bound on offers that
 // wait unsent in the policy's queue, and a rate.
-type Pace struct {
-	Limit PaceLimits
+type Pacer struct {
+	Limits PacerLimits
 
 	window  float64
 	slow    bool // slow start is over
@@ -23,12 +23,12 @@
 	cuts    int
 }
 
-// PaceLimits are the bounds of a Pace.
-type PaceLimits struct {
-	Window  int           // most offers out at once
-	Waiting int           // of these, not sent yet
-	Rate    float64       // offers a second
-	Wait    time.Duration // a foreground job that waited longer for room shows that offers take too much
+// PacerLimits are the bounds of a Pace.
+type PacerLimits struct {
+	MaxWindow         int           // most offers out at once
+	MaxUnsent         int           // of these, not sent yet
+	Rate              float64       // offers a second
+	MaxForegroundWait time.Duration // a foreground job that waited longer for room shows that offers take too much
 }
 
 const (
@@ -40,31 +40,31 @@
 	burst = 0.1
 )
 
-// NewPace returns a pace that begins with one offer.
-func NewPace(l PaceLimits) *Pace { return &Pace{Limit: l, window: leastWindow} }
+// NewPacer returns a pace that begins with one offer.
+func NewPacer(l PacerLimits) *Pacer { return &Pacer{Limits: l, window: leastWindow} }
 
-// May tells whether one more job may be offered now, and if not for the rate alone, how long
+// CanOffer tells whether one more job may be offered now, and if not for the rate alone, how long
 // until it may.
-func (p *Pace) May(now time.Duration) (ok bool, wait time.Duration) {
+func (p *Pacer) CanOffer(now time.Duration) (ok bool, wait time.Duration) {
 	p.refill(now)
-	if p.out >= int(p.window) || p.waiting >= p.Limit.Waiting {
+	if p.out >= int(p.window) || p.waiting >= p.Limits.MaxUnsent {
 		return false, 0
 	}
-	if p.Limit.Rate > 0 && p.credit < 1 {
-		return false, time.Duration((1 - p.credit) / p.Limit.Rate * float64(time.Second))
+	if p.Limits.Rate > 0 && p.credit < 1 {
+		return false, time.Duration((1 - p.credit) / p.Limits.Rate * float64(time.Second))
 	}
 	return true, 0
 }
 
-func (p *Pace) refill(now time.Duration) {
+func (p *Pacer) refill(now time.Duration) {
 	if now > p.at {
-		p.credit = min(max(1, p.Limit.Rate*burst), p.credit+p.Limit.Rate*(now-p.at).Seconds())
+		p.credit = min(max(1, p.Limits.Rate*burst), p.credit+p.Limits.Rate*(now-p.at).Seconds())
 		p.at = now
 	}
 }
 
 // Offered notes an offer.
-func (p *Pace) Offered(now time.Duration) {
+func (p *Pacer) Offered(now time.Duration) {
 	p.refill(now)
 	p.credit--
 	p.out++
@@ -72,35 +72,35 @@
 }
 
 // Sent notes that an offer has left the policy's queue for a region.
-func (p *Pace) Sent() { p.waiting = max(0, p.waiting-1) }
+func (p *Pacer) Sent() { p.waiting = max(0, p.waiting-1) }
 
 // Ended notes an offer's end, and whether it had been sent.
-func (p *Pace) Ended(now time.Duration, sent bool, e End) {
+func (p *Pacer) Ended(now time.Duration, sent bool, e Outcome) {
 	p.out = max(0, p.out-1)
 	if !sent {
 		p.Sent()
 	}
 	switch {
-	case e == WasRefused:
+	case e == OutcomeRefused:
 		p.cut(now)
-	case e == Served && p.slow:
+	case e == OutcomeServed && p.slow:
 		p.window += 1 / p.window
-	case e == Served:
+	case e == OutcomeServed:
 		p.window++
 	}
-	p.window = min(p.window, float64(max(leastWindow, p.Limit.Window)))
+	p.window = min(p.window, float64(max(leastWindow, p.Limits.MaxWindow)))
 }
 
-// Foreground notes how long a foreground job waited for its first send. What it does to the
+// ForegroundWaited notes how long a foreground job waited for its first send. What it does to the
 // window does not hang on whether offers were the cause: where foreground jobs wait there is no
 // room to give away.
-func (p *Pace) Foreground(now, waited time.Duration) {
-	if p.Limit.Wait > 0 && waited > p.Limit.Wait {
+func (p *Pacer) ForegroundWaited(now, waited time.Duration) {
+	if p.Limits.MaxForegroundWait > 0 && waited > p.Limits.MaxForegroundWait {
 		p.cut(now)
 	}
 }
 
-func (p *Pace) cut(now time.Duration) {
+func (p *Pacer) cut(now time.Duration) {
 	p.slow = true
 	if now < p.calmAt {
 		return
@@ -110,8 +110,8 @@
 	p.window = max(leastWindow, p.window/2)
 }
 
-// Out is how many offers have not ended.
-func (p *Pace) Out() int { return p.out }
+// Outstanding is how many offers have not ended.
+func (p *Pacer) Outstanding() int { return p.out }
 
 // Window is how many offers may be out, and Cuts how often that was halved.
-func (p *Pace) Window() (window, cuts int) { return int(p.window), p.cuts }
+func (p *Pacer) Window() (window, cuts int) { return int(p.window), p.cuts }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,55 +12,55 @@
 	"tinroute.example/tinroute/balance"
 )
 
-var limits = Limits{Offers: 4, Sends: 20, Base: time.Second, Most: 30 * time.Second, Expiry: time.Hour}
+var limits = Limits{MaxOffers: 4, MaxSends: 20, BaseBackoff: time.Second, MaxBackoff: 30 * time.Second, Expiry: time.Hour}
 
 func TestBefore(t *testing.T) {
 	sent := &Send{Zone: 1, Cell: 2, At: 100 * time.Second}
-	keyed := Job{Effect: balance.Deduplicated, Group: balance.ScopeCell, Span: 10 * time.Second, First: sent}
+	keyed := Job{Effect: balance.Deduplicated, Group: balance.ScopeCell, DedupWindow: 10 * time.Second, FirstSend: sent}
 	unclear := keyed
-	unclear.Unclear = true
-	unsafe := Job{Effect: balance.NonIdempotent, First: sent}
-	safe := Job{Effect: balance.Idempotent, First: sent, Unclear: true}
+	unclear.HistoryUnknown = true
+	unsafe := Job{Effect: balance.NonIdempotent, FirstSend: sent}
+	safe := Job{Effect: balance.Idempotent, FirstSend: sent, HistoryUnknown: true}
 	for name, c := range map[string]struct {
 		at   time.Duration
 		job  Job
 		want Decision
 	}{
-		"safe at once":                 {500 * time.Second, safe, Decision{Do: Offer}},
-		"keyed, nothing sent":          {500 * time.Second, Job{Effect: balance.Deduplicated}, Decision{Do: Offer}},
-		"keyed within its span":        {104 * time.Second, keyed, Decision{Do: Offer, Earlier: &balance.PriorAttempt{Zone: 1, Cell: 2, Age: 4 * time.Second}}},
-		"keyed at the span's end":      {110*time.Second - margin, keyed, Decision{Do: Bury, Reason: Unknown}},
-		"keyed, clock before its send": {99 * time.Second, keyed, Decision{Do: Bury, Reason: Unknown}},
-		"keyed, unclear":               {101 * time.Second, unclear, Decision{Do: Bury, Reason: Unknown}},
-		"unsafe, nothing sent":         {500 * time.Second, Job{Effect: balance.NonIdempotent}, Decision{Do: Offer}},
-		"unsafe that may have run":     {101 * time.Second, unsafe, Decision{Do: Bury, Reason: Unknown}},
-		"expired":                      {2 * time.Hour, Job{}, Decision{Do: Bury, Reason: Expired}},
-		"expired, may have run":        {2 * time.Hour, keyed, Decision{Do: Bury, Reason: Unknown}},
-		"too many sends":               {time.Second, Job{Sends: 20}, Decision{Do: Bury, Reason: Sends}},
+		"safe at once":                 {500 * time.Second, safe, Decision{Action: ActionOffer}},
+		"keyed, nothing sent":          {500 * time.Second, Job{Effect: balance.Deduplicated}, Decision{Action: ActionOffer}},
+		"keyed within its span":        {104 * time.Second, keyed, Decision{Action: ActionOffer, Earlier: &balance.PriorAttempt{Zone: 1, Cell: 2, Age: 4 * time.Second}}},
+		"keyed at the span's end":      {110*time.Second - margin, keyed, Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}},
+		"keyed, clock before its send": {99 * time.Second, keyed, Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}},
+		"keyed, unclear":               {101 * time.Second, unclear, Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}},
+		"unsafe, nothing sent":         {500 * time.Second, Job{Effect: balance.NonIdempotent}, Decision{Action: ActionOffer}},
+		"unsafe that may have run":     {101 * time.Second, unsafe, Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}},
+		"expired":                      {2 * time.Hour, Job{}, Decision{Action: ActionDeadLetter, Reason: ReasonExpired}},
+		"expired, may have run":        {2 * time.Hour, keyed, Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}},
+		"too many sends":               {time.Second, Job{Sends: 20}, Decision{Action: ActionDeadLetter, Reason: ReasonTooManySends}},
 	} {
-		t.Run(name, func(t *testing.T) { require.Equal(t, c.want, New(limits, 1).Before(c.at, &c.job)) })
+		t.Run(name, func(t *testing.T) { require.Equal(t, c.want, NewPlanner(limits, 1).BeforeOffer(c.at, &c.job)) })
 	}
 }
 
 func TestAfter(t *testing.T) {
-	p := New(limits, 1)
-	require.Equal(t, Done, p.After(0, &Job{}, Served, 0).Do)
-	require.Equal(t, Decision{Do: Bury, Reason: Unfit}, p.After(0, &Job{Offers: 1}, WasUnfit, 0))
-	require.Equal(t, Decision{Do: Bury, Reason: Refused}, p.After(0, &Job{Offers: 4}, WasRefused, 0))
-	require.Equal(t, Decision{Do: Bury, Reason: Failed}, p.After(0, &Job{Offers: 4}, HasFailed, 0))
+	p := NewPlanner(limits, 1)
+	require.Equal(t, ActionDone, p.AfterOffer(0, &Job{}, OutcomeServed, 0).Action)
+	require.Equal(t, Decision{Action: ActionDeadLetter, Reason: ReasonUnfit}, p.AfterOffer(0, &Job{Offers: 1}, OutcomeUnfit, 0))
+	require.Equal(t, Decision{Action: ActionDeadLetter, Reason: ReasonRefused}, p.AfterOffer(0, &Job{Offers: 4}, OutcomeRefused, 0))
+	require.Equal(t, Decision{Action: ActionDeadLetter, Reason: ReasonFailed}, p.AfterOffer(0, &Job{Offers: 4}, OutcomeFailed, 0))
 	for range 100 { // a wait that outlasted the span would end the job unknown
-		d := p.After(9*time.Second, &Job{Effect: balance.Deduplicated, Span: 10 * time.Second, Offers: 3, First: &Send{}}, WasRefused, 0)
-		require.Equal(t, Wait, d.Do)
+		d := p.AfterOffer(9*time.Second, &Job{Effect: balance.Deduplicated, DedupWindow: 10 * time.Second, Offers: 3, FirstSend: &Send{}}, OutcomeRefused, 0)
+		require.Equal(t, ActionWait, d.Action)
 		require.Less(t, d.At, 10*time.Second-margin)
 	}
 	spread := map[time.Duration]bool{}
 	for range 100 { // full jitter, and no more than the bound of its turn
-		d := p.After(0, &Job{Offers: 3}, WasRefused, 0)
+		d := p.AfterOffer(0, &Job{Offers: 3}, OutcomeRefused, 0)
 		require.LessOrEqual(t, d.At, 4*time.Second)
 		spread[d.At/(time.Second/2)] = true
 	}
 	require.Greater(t, len(spread), 5)
-	require.GreaterOrEqual(t, p.After(0, &Job{Offers: 1}, WasRefused, 20*time.Second).At, 20*time.Second)
+	require.GreaterOrEqual(t, p.AfterOffer(0, &Job{Offers: 1}, OutcomeRefused, 20*time.Second).At, 20*time.Second)
 }
 
 // A world of regions that lose, run, fail and refuse, and of crashes that forget all but what
@@ -69,8 +69,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		span := time.Duration(rapid.IntRange(1, 60).Draw(t, "span")) * time.Second
 		j := &Job{Effect: rapid.SampledFrom([]balance.Idempotency{balance.Idempotent, balance.Deduplicated, balance.NonIdempotent}).Draw(t, "effect"),
-			Group: rapid.SampledFrom([]balance.DedupScope{balance.ScopeFleet, balance.ScopeZone, balance.ScopeCell}).Draw(t, "group"), Span: span}
-		p := New(limits, rapid.Uint64().Draw(t, "seed"))
+			Group: rapid.SampledFrom([]balance.DedupScope{balance.ScopeFleet, balance.ScopeZone, balance.ScopeCell}).Draw(t, "group"), DedupWindow: span}
+		p := NewPlanner(limits, rapid.Uint64().Draw(t, "seed"))
 		now := time.Duration(0)
 		type run struct {
 			at         time.Duration
@@ -80,14 +80,14 @@
 		ends := 0
 		for steps := 0; ends == 0; steps++ {
 			require.Less(t, steps, 200, "no end")
-			d := p.Before(now, j)
-			if d.Do == Bury {
+			d := p.BeforeOffer(now, j)
+			if d.Action == ActionDeadLetter {
 				ends++
 				break
 			}
-			require.Equal(t, Offer, d.Do)
+			require.Equal(t, ActionOffer, d.Action)
 			// The policy may send where the decision's binding allows, some time later.
-			end := HasFailed
+			end := OutcomeFailed
 			for range rapid.IntRange(0, 3).Draw(t, "sends") {
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * time.Millisecond
 				zone, cell := rapid.IntRange(0, 1).Draw(t, "zone"), rapid.IntRange(0, 3).Draw(t, "cell")
@@ -107,14 +107,14 @@
 				}
 				s := run{now, zone, cell}
 				j.Sends++
-				if j.First == nil {
-					j.First = &Send{Zone: zone, Cell: cell, At: now}
+				if j.FirstSend == nil {
+					j.FirstSend = &Send{Zone: zone, Cell: cell, At: now}
 				}
 				if rapid.Bool().Draw(t, "never ran") {
-					if j.First.At == now && (len(ran) == 0 || ran[0].at != now) {
-						j.First = nil
+					if j.FirstSend.At == now && (len(ran) == 0 || ran[0].at != now) {
+						j.FirstSend = nil
 					}
-					end = WasRefused
+					end = OutcomeRefused
 					continue
 				}
 				if len(ran) > 0 && j.Effect != balance.Idempotent {
@@ -128,32 +128,32 @@
 					}
 				}
 				ran = append(ran, s)
-				end = rapid.SampledFrom([]End{Served, HasFailed}).Draw(t, "end")
-				if end == Served {
+				end = rapid.SampledFrom([]Outcome{OutcomeServed, OutcomeFailed}).Draw(t, "end")
+				if end == OutcomeServed {
 					break
 				}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "crash") == 0 { // before the end is written
 				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "down")) * time.Second
-				j.Unclear = j.Unclear || rapid.IntRange(0, 9).Draw(t, "clock set back") == 0
+				j.HistoryUnknown = j.HistoryUnknown || rapid.IntRange(0, 9).Draw(t, "clock set back") == 0
 				continue
 			}
-			if end == WasRefused && len(ran) > 0 && j.Effect != balance.Idempotent {
-				end = HasFailed // what may have run is not refused
+			if end == OutcomeRefused && len(ran) > 0 && j.Effect != balance.Idempotent {
+				end = OutcomeFailed // what may have run is not refused
 			}
 			j.Offers++
-			switch d := p.After(now, j, end, 0); d.Do {
-			case Done:
-				require.Equal(t, Served, end)
+			switch d := p.AfterOffer(now, j, end, 0); d.Action {
+			case ActionDone:
+				require.Equal(t, OutcomeServed, end)
 				ends++
-			case Bury:
+			case ActionDeadLetter:
 				if len(ran) > 0 && j.Effect != balance.Idempotent {
-					require.Equal(t, Unknown, d.Reason)
+					require.Equal(t, ReasonUnknown, d.Reason)
 				}
 				ends++
-			case Wait:
+			case ActionWait:
 				require.GreaterOrEqual(t, d.At, now)
-				require.LessOrEqual(t, d.At, now+limits.Most)
+				require.LessOrEqual(t, d.At, now+limits.MaxBackoff)
 				now = d.At
 			default:
 				require.Fail(t, "an offer without a wait")
@@ -164,16 +164,16 @@
 }
 
 func TestPace(t *testing.T) {
-	p := NewPace(PaceLimits{Window: 8, Waiting: 2, Rate: 100, Wait: 50 * time.Millisecond})
+	p := NewPacer(PacerLimits{MaxWindow: 8, MaxUnsent: 2, Rate: 100, MaxForegroundWait: 50 * time.Millisecond})
 	now := time.Second
-	may := func() bool { ok, _ := p.May(now); return ok }
+	may := func() bool { ok, _ := p.CanOffer(now); return ok }
 	require.True(t, may())
 	p.Offered(now)
 	require.False(t, may(), "it begins with one")
 	for range 20 { // doubles with each window of results, up to its bound
-		for p.Out() > 0 {
+		for p.Outstanding() > 0 {
 			p.Sent()
-			p.Ended(now, true, Served)
+			p.Ended(now, true, OutcomeServed)
 		}
 		for now += 20 * time.Millisecond; may(); now += 20 * time.Millisecond {
 			p.Offered(now)
@@ -183,49 +183,49 @@
 	w, cuts := p.Window()
 	require.Equal(t, 8, w)
 	require.Zero(t, cuts)
-	p.Foreground(now, 40*time.Millisecond)
-	p.Foreground(now, 60*time.Millisecond)
-	p.Foreground(now, 60*time.Millisecond) // of the same trouble
+	p.ForegroundWaited(now, 40*time.Millisecond)
+	p.ForegroundWaited(now, 60*time.Millisecond)
+	p.ForegroundWaited(now, 60*time.Millisecond) // of the same trouble
 	w, cuts = p.Window()
 	require.Equal(t, 4, w)
 	require.Equal(t, 1, cuts)
-	for p.Out() > 0 {
-		p.Ended(now, true, WasRefused)
+	for p.Outstanding() > 0 {
+		p.Ended(now, true, OutcomeRefused)
 	}
 	now += time.Second
-	p.Ended(now, true, WasRefused)
+	p.Ended(now, true, OutcomeRefused)
 	w, _ = p.Window()
 	require.Equal(t, 2, w)
 	now += time.Second
 	for may() {
 		p.Offered(now)
 	}
-	require.Equal(t, 2, p.Out(), "the window")
-	p = NewPace(PaceLimits{Window: 100, Waiting: 2, Rate: 1e6})
+	require.Equal(t, 2, p.Outstanding(), "the window")
+	p = NewPacer(PacerLimits{MaxWindow: 100, MaxUnsent: 2, Rate: 1e6})
 	for range 50 {
 		p.Offered(now)
 		p.Sent()
-		p.Ended(now, true, Served)
+		p.Ended(now, true, OutcomeServed)
 	}
 	now += time.Second
 	for may() {
 		p.Offered(now)
 	}
-	require.Equal(t, 2, p.Out(), "no more wait unsent")
+	require.Equal(t, 2, p.Outstanding(), "no more wait unsent")
 }
 
 // However fast the results, no more is offered in a second than the rate and what was saved up.
 func TestPaceRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1, 1000).Draw(t, "rate")
-		p := NewPace(PaceLimits{Window: 1000, Waiting: 1000, Rate: float64(rate)})
+		p := NewPacer(PacerLimits{MaxWindow: 1000, MaxUnsent: 1000, Rate: float64(rate)})
 		now, offered := time.Hour, 0
-		p.May(now)
+		p.CanOffer(now)
 		for end := now + 3*time.Second; now < end; {
-			if ok, wait := p.May(now); ok {
+			if ok, wait := p.CanOffer(now); ok {
 				p.Offered(now)
 				offered++
-				p.Ended(now, true, Served)
+				p.Ended(now, true, OutcomeServed)
 			} else {
 				now += max(wait, time.Microsecond)
 			}
