--- a/cmd/tinroute/main.go
+++ b/cmd/tinroute/main.go
@@ -11,5 +11,5 @@
 func main() {
 	info, err := os.Stderr.Stat()
 	terminal := err == nil && info.Mode()&os.ModeCharDevice != 0
-	os.Exit(cli.Main(cli.Env{Args: os.Args[1:], Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, Terminal: terminal}))
+	os.Exit(cli.Main(cli.Env{Args: os.Args[1:], Getenv: os.Getenv, Out: os.Stdout, Err: os.Stderr, IsTerminal: terminal}))
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -178,7 +178,7 @@
 		c.now, c.turning = c.virtual(), true
 		defer func() { c.turning = false }()
 	}
-	if c.hand != nil && c.hand.Gen() != c.heard.Load() {
+	if c.hand != nil && c.hand.Generation() != c.heard.Load() {
 		c.applyOverrides()
 	}
 	f()
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -34,7 +34,7 @@
 			names = append(names, r.Name)
 		}
 		if c.hand != nil {
-			c.hand.UpdateMembers(time.Now(), names...)
+			c.hand.RecordListed(time.Now(), names...)
 		}
 		c.workers.UpdateMembers(all)
 		c.balancer.UpdateMembers(c.now, how, members)
@@ -62,8 +62,8 @@
 // before the turn's event: what is decided in it obeys the ban.
 func (c *Core) applyOverrides() {
 	state := c.hand.State()
-	out := make(map[string]bool, len(state.Out))
-	for _, name := range state.Out {
+	out := make(map[string]bool, len(state.Detached))
+	for _, name := range state.Detached {
 		out[name] = true
 	}
 	var changed []balance.Member
@@ -78,7 +78,7 @@
 		changed = append(changed, c.overridden(r))
 	}
 	c.out = out // also the names that the table does not list now: the ban holds when they return
-	c.heard.Store(state.Gen)
+	c.heard.Store(state.Generation)
 	if len(changed) > 0 {
 		c.balancer.UpdateMembers(c.now, balance.UpdateDelta, changed)
 	}
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -59,7 +59,7 @@
 func TestHandBanHoldsUntilAttach(t *testing.T) {
 	playBanned(t, 2, func(c *Core, f *fleet, book *override.Set) {
 		_, err := book.Detach(time.Now(), "nobody")
-		require.ErrorIs(t, err, override.ErrUnknown, "an id that was never listed")
+		require.ErrorIs(t, err, override.ErrUnknownWorker, "an id that was never listed")
 		gen, err := book.Detach(time.Now(), "a")
 		require.NoError(t, err)
 		synctest.Wait()
--- a/internal/cli/budgets.go
+++ b/internal/cli/budgets.go
@@ -148,7 +148,7 @@
 func lookAtLeader(f *config.Fleet) (ledger.Overview, error) {
 	var errs []error
 	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
-		o, err := look(f.Voters[name].Ledger)
+		o, err := look(f.Voters[name].LedgerAddr)
 		switch {
 		case err != nil:
 			errs = append(errs, fmt.Errorf("voter %s: %w", name, err))
@@ -160,7 +160,7 @@
 }
 
 func put(v config.Voter, cmd ledger.Command) error {
-	c, err := rpc.Dial(v.Ledger, lookWithin)
+	c, err := rpc.Dial(v.LedgerAddr, lookWithin)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -24,10 +24,10 @@
 
 // The exit codes.
 const (
-	ExitOK     = 0
-	ExitFailed = 1 // it could not serve, or ended by an error
-	ExitUsage  = 2 // the command line makes no sense
-	ExitFaulty = 3 // check has found a fault
+	ExitOK            = 0
+	ExitFailed        = 1 // it could not serve, or ended by an error
+	ExitUsage         = 2 // the command line makes no sense
+	ExitInvalidConfig = 3 // check has found a fault
 )
 
 // Env is what a run meets of the world.
@@ -37,24 +37,24 @@
 	Out    io.Writer
 	Err    io.Writer
 	// Terminal tells that Err is one: logs are coloured there.
-	Terminal bool
+	IsTerminal bool
 }
 
-// Files are the settings files that most words take.
-type Files struct {
+// FileFlags are the settings files that most words take.
+type FileFlags struct {
 	Gearman   string `help:"Serve Gearman clients too, as this file says." placeholder:"FILE"`
 	Telemetry string `help:"Export telemetry as this file says, beside the OTEL_ variables." placeholder:"FILE"`
 	Fleet     string `help:"Belong to a fleet of dispatchers, with budgets of its own, as this file says." placeholder:"FILE"`
 }
 
-// Logs are how the log is written.
-type Logs struct {
+// LogFlags are how the log is written.
+type LogFlags struct {
 	LogFormat string     `help:"How log lines look: ${enum}. auto is tint on a terminal, else text." enum:"auto,text,json,tint" default:"auto"`
 	LogLevel  slog.Level `help:"The least level that is logged: debug, info, warn or error." default:"info"`
 }
 
 type grammar struct {
-	Logs
+	LogFlags
 	Serve      serve                        `cmd:"" default:"withargs" help:"Serve, as the file that LB_CONFIG names says. It is what is done without a word."`
 	Check      check                        `cmd:"" help:"Read every settings file, and explain what it comes to."`
 	Emulate    emulateWord                  `cmd:"" help:"Play a shop of emulated nodes, dispatchers and clients in virtual time."`
@@ -90,11 +90,11 @@
 		fmt.Fprintf(e.Err, "tinroute: %v\nsee tinroute --help\n", err)
 		return ExitUsage
 	}
-	r := &run{e, slog.New(handler(e, g.Logs))}
+	r := &run{e, slog.New(handler(e, g.LogFlags))}
 	if err := c.Run(r); err != nil {
 		faulty := (*faultError)(nil)
 		if errors.As(err, &faulty) {
-			return ExitFaulty
+			return ExitInvalidConfig
 		}
 		if strings.HasPrefix(c.Command(), "serve") {
 			r.log.Error("cannot serve", "err", err)
@@ -118,16 +118,16 @@
 	return out
 }
 
-func handler(e Env, l Logs) slog.Handler {
+func handler(e Env, l LogFlags) slog.Handler {
 	format := l.LogFormat
-	if format == "auto" && e.Terminal {
+	if format == "auto" && e.IsTerminal {
 		format = "tint"
 	}
 	switch format {
 	case "json":
 		return slog.NewJSONHandler(e.Err, &slog.HandlerOptions{Level: l.LogLevel})
 	case "tint":
-		return tint.NewTextHandler(e.Err, &tint.Options{Level: l.LogLevel, TimeFormat: time.TimeOnly, NoColor: !e.Terminal})
+		return tint.NewTextHandler(e.Err, &tint.Options{Level: l.LogLevel, TimeFormat: time.TimeOnly, NoColor: !e.IsTerminal})
 	}
 	return slog.NewTextHandler(e.Err, &slog.HandlerOptions{Level: l.LogLevel})
 }
@@ -140,7 +140,7 @@
 	fleet     *config.Fleet
 }
 
-func (f Files) read(getenv func(string) string, load func(func(string) string) (*config.Config, error)) (s settings, err error) {
+func (f FileFlags) read(getenv func(string) string, load func(func(string) string) (*config.Config, error)) (s settings, err error) {
 	if s.config, err = load(getenv); err != nil {
 		return s, err
 	}
@@ -158,7 +158,7 @@
 	return s, err
 }
 
-type serve struct{ Files }
+type serve struct{ FileFlags }
 
 // Run serves until SIGTERM or SIGINT; SIGHUP has the files read again.
 func (w *serve) Run(r *run) error {
@@ -171,8 +171,8 @@
 	if err != nil {
 		return err
 	}
-	d := &daemon.Daemon{Config: s.config, Gearman: s.gearman, Telemetry: s.telemetry, Fleet: s.fleet, Log: r.log, Hangup: hangup,
-		Reread: func() (daemon.Files, error) {
+	d := &daemon.Daemon{Config: s.config, Gearman: s.gearman, Telemetry: s.telemetry, Fleet: s.fleet, Log: r.log, ReloadSignals: hangup,
+		ReadFiles: func() (daemon.Files, error) {
 			s, err := w.read(r.Getenv, config.Reload)
 			return daemon.Files{Config: s.config, Gearman: s.gearman, Fleet: s.fleet}, err
 		}}
@@ -182,7 +182,7 @@
 // faultError has been told to the user already.
 type faultError struct{ error }
 
-type check struct{ Files }
+type check struct{ FileFlags }
 
 // Run reads what serve would, and explains it.
 func (w *check) Run(r *run) error {
@@ -199,8 +199,8 @@
 	p := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
 	c := s.config
 	p("%s listens at %s and asks discovery at %s", c.Name, c.Listen, c.Discovery)
-	if c.Ops != "" {
-		p("the operators' door is at %s; workers out by hand pass to a successor through %s", c.Ops, os.TempDir())
+	if c.AdminListen != "" {
+		p("the operators' door is at %s; workers out by hand pass to a successor through %s", c.AdminListen, os.TempDir())
 	} else {
 		p("no operators' door: ops and $LB_OPS are unset")
 	}
@@ -229,12 +229,12 @@
 	}
 	if f := s.fleet; f != nil {
 		votes := "is a member"
-		if f.Dir != "" {
-			votes = "votes, with its log in " + f.Dir
+		if f.VoterDir != "" {
+			votes = "votes, with its log in " + f.VoterDir
 		}
 		p("fleet %s: %s %s; %d voters, leases of %v", f.Ledger.Fleet, c.Name, votes, len(f.Voters), f.Terms.Lease)
 		for _, b := range f.Budgets {
-			p("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, f.Version, float64(b.Whole)/1000, float64(b.Burst)/1000)
+			p("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, f.BudgetVersion, float64(b.Whole)/1000, float64(b.Burst)/1000)
 		}
 	} else {
 		p("fleet: off")
@@ -248,8 +248,8 @@
 			p("telemetry: %s go to %s over %s, within %v", signal, e.URL, protocol, e.Timeout)
 		}
 		p("  %d KB of memory at most, %g ordinary requests kept a second", t.Sampling.Bytes>>10, t.Sampling.Rate)
-		if t.Spool != "" {
-			p("  what is not taken waits in %s, %d MB at most", t.Spool, t.SpoolMost>>20)
+		if t.SpoolDir != "" {
+			p("  what is not taken waits in %s, %d MB at most", t.SpoolDir, t.SpoolMaxBytes>>20)
 		}
 	} else {
 		p("telemetry: off")
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -32,7 +32,7 @@
 	require.Contains(t, out, "telemetry: off")
 	require.NoError(t, os.WriteFile(gearman, []byte("listen = 'x:1'\ndiscovery = 'y:2'\nlisten_too = 1\n"), 0o600))
 	code, out, _ = call(env, "check", "--gearman", gearman)
-	require.Equal(t, ExitFaulty, code)
+	require.Equal(t, ExitInvalidConfig, code)
 	require.Contains(t, out, "listen_too: unknown key")
 }
 
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -89,11 +89,11 @@
 		}
 		had = append(had, o)
 		n++
-		if r.Terminal {
+		if r.IsTerminal {
 			fmt.Fprintf(r.Err, "\r%d of %d played, %v", n, left, time.Since(began).Round(time.Second))
 		}
 	})
-	if r.Terminal {
+	if r.IsTerminal {
 		fmt.Fprintln(r.Err)
 	}
 	if err = errors.Join(err, werr); err != nil {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -66,7 +66,7 @@
 	var best *ledger.Overview // the leader's, else any
 	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
 		s := seen{Voter: name}
-		if o, err := look(f.Voters[name].Ledger); err != nil {
+		if o, err := look(f.Voters[name].LedgerAddr); err != nil {
 			s.Err = err.Error()
 		} else {
 			s.State = &o
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -102,7 +102,7 @@
 	res, err := load.Run(ctx, o, func(sent, due int) {
 		switch { // a line rewritten in place on a terminal; in a log, lines
 		case w.JSON:
-		case r.Terminal:
+		case r.IsTerminal:
 			fmt.Fprintf(r.Err, "\rsent %d of %d", sent, due)
 		default:
 			fmt.Fprintf(r.Err, "sent %d of %d\n", sent, due)
@@ -114,7 +114,7 @@
 	if w.JSON {
 		report(r.Out, res)
 	} else {
-		if r.Terminal {
+		if r.IsTerminal {
 			fmt.Fprint(r.Err, "\r")
 		}
 		summary(r.Out, res)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,15 +35,15 @@
 
 // Config is everything that a dispatcher is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Ops       string // the operators' door, none where empty
-	Limits    Limits
-	Hooks     []string // script files, in the order they are asked
-	Known     []byte   // the service table as last held, in discovery's form
-	Settings  *balance.Settings
-	Names     *Names
+	Name         string
+	Listen       string
+	Discovery    string
+	AdminListen  string // the operators' door, none where empty
+	Limits       Limits
+	Hooks        []string // script files, in the order they are asked
+	KnownWorkers []byte   // the service table as last held, in discovery's form
+	Settings     *balance.Settings
+	Names        *Names
 }
 
 // Load reads the file that $LB_CONFIG names. The other variables win over the file's own
@@ -69,7 +69,7 @@
 	}
 	c.Name = cmp.Or(getenv("LB_NAME"), c.Name)
 	c.Listen = cmp.Or(getenv("LB_LISTEN"), c.Listen)
-	c.Ops = cmp.Or(getenv("LB_OPS"), c.Ops)
+	c.AdminListen = cmp.Or(getenv("LB_OPS"), c.AdminListen)
 	c.Discovery = cmp.Or(discovery, c.Discovery)
 	switch {
 	case c.Listen == "":
@@ -103,7 +103,7 @@
 		return nil, errors.New("configuration: not an object")
 	}
 	f := &facts{}
-	c := &Config{Name: f.text(v, "name"), Listen: f.text(v, "listen"), Discovery: f.text(v, "discovery"), Ops: f.text(v, "ops"),
+	c := &Config{Name: f.text(v, "name"), Listen: f.text(v, "listen"), Discovery: f.text(v, "discovery"), AdminListen: f.text(v, "ops"),
 		Limits: Limits{Cores: f.number(v, 1, "limits", "cores"),
 			MemoryMB: int(f.number(v, defaultMemoryMB, "limits", "memory_mb")),
 			Sockets:  int(f.number(v, defaultSockets, "limits", "sockets"))}}
@@ -125,7 +125,7 @@
 	if settings == nil {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Names, err = Settings(settings); err != nil {
+	if c.Settings, c.Names, err = ParseSettings(settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if seed != "" {
@@ -137,7 +137,7 @@
 		if known.Type() != fastjson.TypeObject {
 			return nil, errors.New("known: not an object")
 		}
-		c.Known = known.MarshalTo(nil)
+		c.KnownWorkers = known.MarshalTo(nil)
 	}
 	if c.Settings.ConnIdleTimeout <= 0 {
 		c.Settings.ConnIdleTimeout = defaultConnIdle
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -104,11 +104,11 @@
 	require.NoError(t, err)
 	g, err := LoadGearman("../../deploy/gearman.toml", c.Settings, c.Names)
 	require.NoError(t, err)
-	require.Equal(t, Function{Class: 2, Deadline: 25 * time.Second, Tenant: -1}, g.Functions["nav-run"])
+	require.Equal(t, FunctionDefaults{Class: 2, Deadline: 25 * time.Second, Tenant: -1}, g.Functions["nav-run"])
 	const whole = "listen = 'x'\ndiscovery = 'y'\n"
 	g, err = ParseGearman(whole+"function.nav-run = {tenant='souss-actions', cost='2s', deadline='9s'}", c.Settings, c.Names)
 	require.NoError(t, err)
-	require.Equal(t, Function{Class: 2, Deadline: 9 * time.Second, Tenant: 1, Cost: 2 * time.Second}, g.Functions["nav-run"])
+	require.Equal(t, FunctionDefaults{Class: 2, Deadline: 9 * time.Second, Tenant: 1, Cost: 2 * time.Second}, g.Functions["nav-run"])
 	for text, key := range map[string]string{
 		"discovery = 'y'":                                   "listen",
 		"listen = 'x'":                                      "discovery",
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -27,24 +27,24 @@
 
 // Fleet is the file of the fleet that a dispatcher belongs to.
 type Fleet struct {
-	Ledger  ledger.Settings
-	Terms   ledger.Terms
-	Voters  map[string]Voter // by name, as reached from here; a voter's own addresses are what it listens at
-	Dir     string           // this process's log of the ledger, where it votes
-	Begin   bool             // an empty folder is right: the fleet begins
-	Pace    time.Duration    // of the voters' heartbeats
-	Version uint64           // of the budgets
-	Budgets []ledger.Budget
-	Tenants map[int]TenantBudget // by tenant
-	Repeats *RepeatBudget        // nil where repeats and second copies have no budget
-	Each    string               // the budget of connections at each worker, empty for none
+	Ledger            ledger.Settings
+	Terms             ledger.Terms
+	Voters            map[string]Voter // by name, as reached from here; a voter's own addresses are what it listens at
+	VoterDir          string           // this process's log of the ledger, where it votes
+	Bootstrap         bool             // an empty folder is right: the fleet begins
+	HeartbeatInterval time.Duration    // of the voters' heartbeats
+	BudgetVersion     uint64           // of the budgets
+	Budgets           []ledger.Budget
+	Tenants           map[int]TenantBudget // by tenant
+	Repeats           *RepeatBudget        // nil where repeats and second copies have no budget
+	ConnectionBudget  string               // the budget of connections at each worker, empty for none
 }
 
 // RepeatBudget bounds attempts that may do a job's work once more.
 type RepeatBudget struct {
-	Budget string
-	Share  int64 // thousandths of a repeat that each first try allows beside the budget
-	Saved  int64 // the most of these saved up at one dispatcher, in thousandths
+	Budget        string
+	ShareMilli    int64 // thousandths of a repeat that each first try allows beside the budget
+	MaxSavedMilli int64 // the most of these saved up at one dispatcher, in thousandths
 }
 
 // defaultSaved is how many repeats a dispatcher may have saved up by its first tries.
@@ -52,14 +52,14 @@
 
 // Voter is where a voter is reached.
 type Voter struct {
-	Raft   string `toml:"raft"`   // by the other voters
-	Ledger string `toml:"ledger"` // by members
+	RaftAddr   string `toml:"raft"`   // by the other voters
+	LedgerAddr string `toml:"ledger"` // by members
 }
 
 // TenantBudget is the budget that a tenant's jobs are admitted by.
 type TenantBudget struct {
-	Budget string
-	Work   bool // it counts seconds of work, else jobs
+	Budget     string
+	CountsWork bool // it counts seconds of work, else jobs
 }
 
 // LoadFleet reads and checks the fleet's file. Where name is among its voters and it names a folder, the
@@ -125,8 +125,8 @@
 	f := &Fleet{Ledger: ledger.Settings{Fleet: file.Fleet, Generation: uint64(c.count("generation", file.Generation, 1, math.MaxInt64)),
 		MostMembers: int(c.count("members", file.Members, defaultMembers, 4096))},
 		Terms:  ledger.Terms{Lease: c.time("lease", file.Lease, defaultLease), Linger: c.time("linger", file.Linger, longest), Drift: defaultDrift},
-		Voters: file.Voters, Pace: c.time("voter.pace", file.Voter.Pace, defaultPace),
-		Version: uint64(c.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
+		Voters: file.Voters, HeartbeatInterval: c.time("voter.pace", file.Voter.Pace, defaultPace),
+		BudgetVersion: uint64(c.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
 	if file.Drift != nil {
 		f.Terms.Drift = *file.Drift
 	}
@@ -149,11 +149,11 @@
 		c.fail("voter.begin: without voter.dir")
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Voters)) {
-		if v := file.Voters[name]; v.Raft == "" || v.Ledger == "" {
+		if v := file.Voters[name]; v.RaftAddr == "" || v.LedgerAddr == "" {
 			c.fail("voters.%s: raft and ledger are both needed", name)
 		}
 	}
-	f.Dir, f.Begin = file.Voter.Dir, file.Voter.Begin
+	f.VoterDir, f.Bootstrap = file.Voter.Dir, file.Voter.Begin
 	milli := func(key string, x float64) int64 {
 		if x < 0 || x > float64(share.Most)/1000 || math.IsNaN(x) {
 			c.fail("%s: %v is not from 0 to %d", key, x, share.Most/1000)
@@ -180,30 +180,30 @@
 			switch {
 			case in.Tenant != "" || in.Burst != 0:
 				c.fail("%s: a budget of connections has neither tenant nor burst", key)
-			case f.Each != "":
-				c.fail("%s.counts: %s counts connections already", key, f.Each)
+			case f.ConnectionBudget != "":
+				c.fail("%s.counts: %s counts connections already", key, f.ConnectionBudget)
 			case b.Whole%1000 != 0:
 				c.fail("%s.whole: %v is no whole number", key, in.Whole)
 			case f.Terms.Linger < s.ConnIdleTimeout: // a stopped process's idle ones stay until the worker closes them
 				c.fail("linger: %v is under the time after which workers close idle connections, %v", f.Terms.Linger, s.ConnIdleTimeout)
 			}
-			f.Each = name
+			f.ConnectionBudget = name
 		}
 		f.Budgets = append(f.Budgets, b)
 		if in.Counts == "connections" {
 			continue
 		}
 		if in.Counts == "repeats" {
-			r := &RepeatBudget{Budget: name, Share: milli(key+".share", in.Share), Saved: defaultSaved * 1000}
+			r := &RepeatBudget{Budget: name, ShareMilli: milli(key+".share", in.Share), MaxSavedMilli: defaultSaved * 1000}
 			if in.Saved != nil {
-				r.Saved = milli(key+".saved", *in.Saved)
+				r.MaxSavedMilli = milli(key+".saved", *in.Saved)
 			}
 			switch {
 			case in.Tenant != "":
 				c.fail("%s.tenant: a budget of repeats is no tenant's", key)
 			case f.Repeats != nil:
 				c.fail("%s.counts: %s counts repeats already", key, f.Repeats.Budget)
-			case r.Share > 1000:
+			case r.ShareMilli > 1000:
 				c.fail("%s.share: %v is not from 0 to 1", key, in.Share)
 			}
 			f.Repeats = r
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -23,16 +23,16 @@
 	require.Equal(t, map[int]TenantBudget{3: {Budget: "argane"}}, f.Tenants)
 	require.EqualValues(t, 21000, f.Budgets[0].Whole)
 	require.EqualValues(t, 3000, f.Budgets[0].Parts["n0"].Floor)
-	require.Empty(t, f.Dir)
+	require.Empty(t, f.VoterDir)
 	require.Nil(t, f.Repeats)
 	again, err := ParseFleet(text+"[budget.again]\ncounts = \"repeats\"\nwhole = 5\nburst = 16\nshare = 0.25\n", "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, &RepeatBudget{Budget: "again", Share: 250, Saved: 10_000}, again.Repeats)
+	require.Equal(t, &RepeatBudget{Budget: "again", ShareMilli: 250, MaxSavedMilli: 10_000}, again.Repeats)
 
 	each := text + "[budget.each]\ncounts = \"connections\"\nwhole = 12\n"
 	again, err = ParseFleet(each, "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, "each", again.Each)
+	require.Equal(t, "each", again.ConnectionBudget)
 	for old, now := range map[string]string{"whole = 12": "whole = 1.5", "whole = 12\n": "whole = 12\nburst = 20\n"} {
 		_, err = ParseFleet(strings.Replace(each, old, now, 1), "n0", s, names)
 		require.ErrorContains(t, err, "budget.each")
--- a/internal/config/gearman.go
+++ b/internal/config/gearman.go
@@ -33,28 +33,28 @@
 
 // Store is where background jobs are kept.
 type Store struct {
-	Path     string
-	MaxJobs  int
-	MaxBytes int64
-	MaxFile  int64 // 0 for no bound
+	Path         string
+	MaxJobs      int
+	MaxBytes     int64
+	MaxFileBytes int64 // 0 for no bound
 }
 
 // Gearman is the second front's file.
 type Gearman struct {
-	Listen      string
-	Discovery   string
-	Hooks       []string            // script files, in the order they are asked
-	Functions   map[string]Function // one for each class, named as the class
-	Connections int                 // clients' at once; 0 for the front's share of the platform's limit
-	Shutdown    bool                // the text protocol may end the process
-	Limits      jobindex.Limits
-	Store       *Store // nil where background jobs are off
-	Retry       recovery.Limits
-	Pace        recovery.PacerLimits
+	Listen         string
+	Discovery      string
+	Hooks          []string                    // script files, in the order they are asked
+	Functions      map[string]FunctionDefaults // one for each class, named as the class
+	MaxConnections int                         // clients' at once; 0 for the front's share of the platform's limit
+	AllowShutdown  bool                        // the text protocol may end the process
+	Limits         jobindex.Limits
+	Store          *Store // nil where background jobs are off
+	Retry          recovery.Limits
+	Pace           recovery.PacerLimits
 }
 
-// Function holds what a Gearman job, which says nothing of these, is taken to ask for.
-type Function struct {
+// FunctionDefaults holds what a Gearman job, which says nothing of these, is taken to ask for.
+type FunctionDefaults struct {
 	Class    int
 	Deadline time.Duration // the class's where the file gives none
 	Tenant   int           // -1 for none
@@ -128,12 +128,12 @@
 	case file.Discovery == "":
 		return nil, fmt.Errorf("discovery: missing")
 	}
-	g := &Gearman{Listen: file.Listen, Discovery: file.Discovery, Hooks: file.Hooks, Functions: map[string]Function{},
-		Shutdown: file.Shutdown, Limits: jobindex.Limits{PerFunction: map[string]int{}}}
+	g := &Gearman{Listen: file.Listen, Discovery: file.Discovery, Hooks: file.Hooks, Functions: map[string]FunctionDefaults{},
+		AllowShutdown: file.Shutdown, Limits: jobindex.Limits{PerFunction: map[string]int{}}}
 	c := checker{}
 	g.Limits.PerClient = int(c.count("limits.jobs_per_connection", file.Limits.PerClient, defaultPerClient, 4096))
 	if file.Limits.Conns != nil {
-		g.Connections = int(c.count("limits.connections", file.Limits.Conns, 0, 1_000_000))
+		g.MaxConnections = int(c.count("limits.connections", file.Limits.Conns, 0, 1_000_000))
 	}
 	g.Limits.Jobs = int(c.count("limits.jobs", file.Limits.Jobs, defaultJobs, 1<<30))
 	g.Limits.Bytes = int(c.count("limits.bytes", file.Limits.Bytes, defaultBytes, 1<<40))
@@ -151,7 +151,7 @@
 	st := &Store{Path: file.Store.Path, MaxJobs: int(c.count("store.max_jobs", file.Store.MaxJobs, defaultStoredJobs, 1<<40)),
 		MaxBytes: c.count("store.max_bytes", file.Store.MaxBytes, defaultStored, 1<<50)}
 	if file.Store.MaxFile != nil {
-		st.MaxFile = c.count("store.max_file_bytes", file.Store.MaxFile, 0, 1<<50)
+		st.MaxFileBytes = c.count("store.max_file_bytes", file.Store.MaxFile, 0, 1<<50)
 	}
 	switch {
 	case st.Path != "":
@@ -163,7 +163,7 @@
 		return nil, c.err
 	}
 	for i, c := range s.Classes {
-		g.Functions[c.Name] = Function{Class: i, Deadline: c.Deadline, Tenant: -1}
+		g.Functions[c.Name] = FunctionDefaults{Class: i, Deadline: c.Deadline, Tenant: -1}
 	}
 	for name, f := range file.Function {
 		to, ok := g.Functions[name]
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -132,9 +132,9 @@
 	Class, Zone, Kind, Tenant map[string]int
 }
 
-// Settings reads the settings object: what the simulator sends in its first message and
+// ParseSettings reads the settings object: what the simulator sends in its first message and
 // what a real dispatcher finds in its configuration. The seed is not part of it.
-func Settings(v *fastjson.Value) (*balance.Settings, *Names, error) {
+func ParseSettings(v *fastjson.Value) (*balance.Settings, *Names, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return nil, nil, errors.New("not an object")
 	}
--- a/internal/config/telemetry.go
+++ b/internal/config/telemetry.go
@@ -26,14 +26,14 @@
 
 // Telemetry is what is exported, and where to.
 type Telemetry struct {
-	Endpoints map[otlp.Signal]otlp.Endpoint // those that are on
-	Sampling  tailsampling.Limits
-	Interval  time.Duration // between two exports of metrics
-	Regions   int           // told apart in metrics; the others are "other"
-	Tenants   int
-	Spool     string // a directory, empty for none
-	SpoolMost int64
-	SpoolPace time.Duration
+	Endpoints       map[otlp.Signal]otlp.Endpoint // those that are on
+	Sampling        tailsampling.Limits
+	MetricInterval  time.Duration // between two exports of metrics
+	MaxWorkerSeries int           // told apart in metrics; the others are "other"
+	MaxTenantSeries int
+	SpoolDir        string // a directory, empty for none
+	SpoolMaxBytes   int64
+	SpoolInterval   time.Duration
 }
 
 // LoadTelemetry reads the telemetry file, where path names one, and the standard OTEL_ variables,
@@ -80,12 +80,12 @@
 		}
 	}
 	c := checker{}
-	t := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, Spool: file.Spool.Dir,
+	t := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, SpoolDir: file.Spool.Dir,
 		Sampling: tailsampling.Limits{Bytes: c.count("sampling.bytes", file.Sampling.Bytes, defaultTelemetryBytes, 1<<32),
 			Rate: float64(c.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
-		Interval: c.time("metric_interval", file.Interval, defaultMetricInterval),
-		Regions:  int(c.count("regions", file.Regions, defaultRegionsTold, 1900)), Tenants: int(c.count("tenants", file.Tenants, defaultTenantsTold, 1900)),
-		SpoolMost: c.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolPace: c.time("spool.pace", file.Spool.Pace, defaultSpoolPace)}
+		MetricInterval:  c.time("metric_interval", file.Interval, defaultMetricInterval),
+		MaxWorkerSeries: int(c.count("regions", file.Regions, defaultRegionsTold, 1900)), MaxTenantSeries: int(c.count("tenants", file.Tenants, defaultTenantsTold, 1900)),
+		SpoolMaxBytes: c.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolInterval: c.time("spool.pace", file.Spool.Pace, defaultSpoolPace)}
 	if file.Sampling.Slow != "" {
 		t.Sampling.Slow = c.time("sampling.slow", file.Sampling.Slow, 0)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -50,17 +50,17 @@
 
 // Daemon is a dispatcher that has not been started.
 type Daemon struct {
-	Config    *config.Config
-	Gearman   *config.Gearman // nil where the second front is off
-	Log       *slog.Logger
-	Hangup    <-chan os.Signal                                                  // each asks for a reload; none where nil
-	Reread    func() (Files, error)                                             // reads the files again, for a reload
-	Wall      func() time.Time                                                  // the system's clock, time.Now where nil
-	Telemetry *config.Telemetry                                                 // nil where it is off
-	Fleet     *config.Fleet                                                     // nil where it belongs to none
-	Dial      func(ctx context.Context, network, addr string) (net.Conn, error) // a net.Dialer's where nil
-	Listen    func(network, addr string) (net.Listener, error)                  // link.Listen where nil
-	Shared    string                                                            // the folder shared with a successor, os.TempDir() where empty
+	Config        *config.Config
+	Gearman       *config.Gearman // nil where the second front is off
+	Log           *slog.Logger
+	ReloadSignals <-chan os.Signal                                                  // each asks for a reload; none where nil
+	ReadFiles     func() (Files, error)                                             // reads the files again, for a reload
+	Now           func() time.Time                                                  // the system's clock, time.Now where nil
+	Telemetry     *config.Telemetry                                                 // nil where it is off
+	Fleet         *config.Fleet                                                     // nil where it belongs to none
+	Dial          func(ctx context.Context, network, addr string) (net.Conn, error) // a net.Dialer's where nil
+	Listen        func(network, addr string) (net.Listener, error)                  // link.Listen where nil
+	HandoverDir   string                                                            // the folder shared with a successor, os.TempDir() where empty
 
 	hand  *override.Set // workers out by hand, where there is an operators' door
 	cores []*dispatch.Core
@@ -193,7 +193,7 @@
 	}
 	clock := dispatch.NewClock()
 	store, err := jobstore.Open(jobstore.Options{Path: g.Store.Path, MaxJobs: g.Store.MaxJobs, MaxBytes: g.Store.MaxBytes,
-		MaxFile: g.Store.MaxFile, Now: clock.Now, Log: log})
+		MaxFile: g.Store.MaxFileBytes, Now: clock.Now, Log: log})
 	if err != nil {
 		log.Error("job store not opened", "file", g.Store.Path, "err", err)
 		o.StoreErr = err
@@ -207,7 +207,7 @@
 	var keeper *background.Scheduler
 	o.NewScheduler = func(f background.JobServer) *background.Scheduler {
 		keeper = background.New(background.Options{Store: store, Limits: g.Retry, Pace: g.Pace, Seed: d.Config.Settings.Seed,
-			Clock: clock, WallClock: d.Wall, Log: log}, f)
+			Clock: clock, WallClock: d.Now, Log: log}, f)
 		return keeper
 	}
 	return func() { go keeper.Run(ctx) }, func() {
@@ -243,9 +243,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.Hangup:
+		case <-d.ReloadSignals:
 		}
-		f, err := d.Reread()
+		f, err := d.ReadFiles()
 		if err != nil {
 			d.Log.Error("not reloaded", "err", err)
 			continue
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -16,8 +16,8 @@
 
 // door opens the operators' door at its address. It answers from the cores, the book of hand
 // bans and ready, and never waits on a core for long.
-func (d *Daemon) door(ready func() bool) (*ops.Door, error) {
-	l, err := d.Listen("tcp", d.Config.Ops)
+func (d *Daemon) door(ready func() bool) (*ops.Server, error) {
+	l, err := d.Listen("tcp", d.Config.AdminListen)
 	if err != nil {
 		return nil, fmt.Errorf("ops: listen: %w", err)
 	}
@@ -25,10 +25,10 @@
 	var asking sync.Mutex // one scrape at a time asks the cores; the others take the last counts
 	var mu sync.Mutex     // guards last
 	last := make([]dispatch.WorkerCounts, len(cores))
-	figures := func() ops.Figures {
-		f := ops.Figures{}
+	figures := func() ops.Stats {
+		f := ops.Stats{}
 		for _, c := range d.Config.Settings.Classes {
-			f.Classes = append(f.Classes, ops.ClassFigures{Name: c.Name})
+			f.Classes = append(f.Classes, ops.ClassStats{Name: c.Name})
 		}
 		for _, core := range cores {
 			for i, k := range core.Counts() {
@@ -64,8 +64,8 @@
 		}
 		return least
 	}
-	door := ops.New(ops.Options{Log: d.Log.With("part", "ops"), Ready: ready, Figures: figures, Hand: d.hand, Heard: heard})
+	door := ops.New(ops.Options{Log: d.Log.With("part", "ops"), Ready: ready, Stats: figures, Overrides: d.hand, OverridesApplied: heard})
 	go func() { _ = door.Serve(l) }()
-	d.Log.Info("operators' door", "listen", d.Config.Ops)
+	d.Log.Info("operators' door", "listen", d.Config.AdminListen)
 	return door, nil
 }
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -92,11 +92,11 @@
 // bans are the workers out by hand, where there is an operators' door: what a predecessor left binds before
 // anything is sent.
 func (r *running) bans() error {
-	if r.Config.Ops == "" {
+	if r.Config.AdminListen == "" {
 		return nil
 	}
 	r.hand = override.New()
-	keeper := handover.New(handover.Options{Dir: r.Shared, Book: r.hand, Log: r.Log})
+	keeper := handover.NewSyncer(handover.SyncerOptions{Dir: r.HandoverDir, Overrides: r.hand, Log: r.Log})
 	keeper.Start()
 	r.onClose(keeper.Close)
 	return nil
@@ -134,12 +134,12 @@
 			workers.SetConnLimit(l)
 		}
 	}
-	if r.table, err = r.start(r.inner, core, workers, r.Config.Discovery, r.Config.Known); err != nil {
+	if r.table, err = r.start(r.inner, core, workers, r.Config.Discovery, r.Config.KnownWorkers); err != nil {
 		return err
 	}
 	r.clients = platform.NewServer(core, workers, r.Log, r.Config.Names, r.terminals)
-	if r.Config.Ops != "" { // upgrades: a worker's call-back may reach the other process
-		relay := handover.NewRelay(r.Shared, r.Log, r.clients.HandleRelayed)
+	if r.Config.AdminListen != "" { // upgrades: a worker's call-back may reach the other process
+		relay := handover.NewRelay(r.HandoverDir, r.Log, r.clients.HandleRelayed)
 		if err := relay.Start(); err != nil {
 			return err
 		}
@@ -166,7 +166,7 @@
 	}
 	connections := r.sockets - r.terminals
 	workers := gearman.NewWorkers(core, log, r.Dial, connections)
-	terminals := cmp.Or(r.Gearman.Connections, r.terminals)
+	terminals := cmp.Or(r.Gearman.MaxConnections, r.terminals)
 	o := gearman.Options{Log: log, Config: r.Gearman, DispatcherName: r.Config.Name, MaxConnections: terminals, Workers: workers.Serving, Shutdown: r.end}
 	run, shut := r.background(r.inner, &o, log)
 	server := gearman.NewServer(core, o)
@@ -188,7 +188,7 @@
 
 // operators is their door: with every core made, since it counts them all.
 func (r *running) operators() error {
-	if r.Config.Ops == "" {
+	if r.Config.AdminListen == "" {
 		return nil
 	}
 	door, err := r.door(r.clients.Ready)
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -345,9 +345,9 @@
 	if w.log == nil {
 		w.log = slog.New(slog.DiscardHandler)
 	}
-	d := &Daemon{Config: c, Log: w.log, Dial: w.net.Dial, Listen: w.net.Listen, Hangup: w.hangup}
+	d := &Daemon{Config: c, Log: w.log, Dial: w.net.Dial, Listen: w.net.Listen, ReloadSignals: w.hangup}
 	w.wire.prepare(t, w, d)
-	d.Reread = func() (Files, error) {
+	d.ReadFiles = func() (Files, error) {
 		if w.reread == "faulty" {
 			return Files{}, errors.New("discovery: missing")
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,22 +53,22 @@
 	p := &Part{o: o, file: o.File, rates: map[int]int{}, work: map[int]bool{}, again: -1, stop: make(chan struct{})}
 	m := member.Options{Name: o.Name, Fleet: o.File.Ledger.Fleet, Terms: o.File.Terms, Voters: map[string]string{}, Clock: Clock, Log: o.Log}
 	for name, v := range o.File.Voters {
-		m.Voters[name] = v.Ledger
+		m.Voters[name] = v.LedgerAddr
 	}
 	for tenant, b := range o.File.Tenants {
-		p.rates[tenant], p.work[tenant] = len(m.Rates), b.Work
+		p.rates[tenant], p.work[tenant] = len(m.Rates), b.CountsWork
 		m.Rates = append(m.Rates, b.Budget)
 	}
 	if r := o.File.Repeats; r != nil {
-		p.again, p.ratio = len(m.Rates), budget.Ratio{Part: r.Share, Most: r.Saved}
+		p.again, p.ratio = len(m.Rates), budget.Ratio{Part: r.ShareMilli, Most: r.MaxSavedMilli}
 		m.Rates = append(m.Rates, r.Budget)
 	}
-	m.Each = o.File.Each
+	m.Each = o.File.ConnectionBudget
 	var err error
 	if p.member, err = member.Start(m); err != nil {
 		return nil, err
 	}
-	if o.File.Dir != "" {
+	if o.File.VoterDir != "" {
 		p.ended.Go(p.vote)
 	}
 	return p, nil
@@ -125,7 +125,7 @@
 
 // Connections bounds those at each worker, nil where no budget does.
 func (p *Part) Connections() link.ConnLimit {
-	if p.o.File.Each == "" {
+	if p.o.File.ConnectionBudget == "" {
 		return nil
 	}
 	return p.member
@@ -172,14 +172,14 @@
 func (p *Part) begin() (*quorum.Voter, *rpc.Server, error) {
 	f, addrs := p.o.File, map[string]string{}
 	for name, v := range f.Voters {
-		addrs[name] = v.Raft
+		addrs[name] = v.RaftAddr
 	}
-	l, err := p.o.Listen("tcp", f.Voters[p.o.Name].Ledger)
+	l, err := p.o.Listen("tcp", f.Voters[p.o.Name].LedgerAddr)
 	if err != nil {
 		return nil, nil, fmt.Errorf("listen: %w", err)
 	}
-	v, err := quorum.Start(quorum.Options{Name: p.o.Name, Voters: addrs, Dir: f.Dir, Begin: f.Begin, Fleet: f.Ledger, Terms: f.Terms,
-		Pace: f.Pace, Clock: Clock, Log: p.o.Log})
+	v, err := quorum.Start(quorum.Options{Name: p.o.Name, Voters: addrs, Dir: f.VoterDir, Begin: f.Bootstrap, Fleet: f.Ledger, Terms: f.Terms,
+		Pace: f.HeartbeatInterval, Clock: Clock, Log: p.o.Log})
 	if err != nil {
 		_ = l.Close()
 		return nil, nil, err
@@ -208,7 +208,7 @@
 			began = Clock()
 		}
 		p.mu.Lock()
-		set := ledger.Set{Version: p.file.Version, Budgets: p.file.Budgets}
+		set := ledger.Set{Version: p.file.BudgetVersion, Budgets: p.file.Budgets}
 		p.mu.Unlock()
 		var have ledger.Overview
 		v.Look(func(s *ledger.State) { have = s.Overview() })
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,9 +22,9 @@
 // alone starts a fleet of one, with a budget of 1,000 a second for tenant 0 and one of 50 repeats.
 func alone(t testing.TB, whole int64) *Part {
 	f := &config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MostMembers: 4}, Terms: ledger.Terms{Lease: time.Second, Linger: time.Second},
-		Voters: map[string]config.Voter{"a": {Raft: freeAddr(t), Ledger: freeAddr(t)}}, Dir: t.TempDir(), Begin: true, Pace: 200 * time.Millisecond, Version: 1,
+		Voters: map[string]config.Voter{"a": {RaftAddr: freeAddr(t), LedgerAddr: freeAddr(t)}}, VoterDir: t.TempDir(), Bootstrap: true, HeartbeatInterval: 200 * time.Millisecond, BudgetVersion: 1,
 		Budgets: []ledger.Budget{{Name: "again", Kind: ledger.Rate, Whole: 50_000, Burst: 8000}, {Name: "x", Kind: ledger.Rate, Whole: whole, Burst: whole}},
-		Tenants: map[int]config.TenantBudget{0: {Budget: "x"}}, Repeats: &config.RepeatBudget{Budget: "again", Share: 500, Saved: 1000}}
+		Tenants: map[int]config.TenantBudget{0: {Budget: "x"}}, Repeats: &config.RepeatBudget{Budget: "again", ShareMilli: 500, MaxSavedMilli: 1000}}
 	p, err := Start(Options{File: f, Name: "a", Log: slog.New(slog.DiscardHandler), Listen: net.Listen})
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, p.Close()) })
--- a/internal/fleet/members_test.go
+++ b/internal/fleet/members_test.go
@@ -64,16 +64,16 @@
 				return counted{l, &bytes}, err
 			}
 			f := config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MostMembers: 256}, Terms: ledger.Terms{Lease: 2 * time.Second, Linger: 2 * time.Second, Drift: 0.001},
-				Voters: map[string]config.Voter{}, Begin: true, Pace: time.Second, Version: 1,
+				Voters: map[string]config.Voter{}, Bootstrap: true, HeartbeatInterval: time.Second, BudgetVersion: 1,
 				Budgets: []ledger.Budget{{Name: "x", Kind: ledger.Rate, Whole: 1_000_000, Burst: 256_000}}}
 			m := member.Options{Fleet: "f", Terms: f.Terms, Voters: map[string]string{}, Rates: []string{"x"}, Clock: Clock, Log: slog.New(slog.DiscardHandler)}
 			for _, name := range []string{"v0", "v1", "v2"} {
-				f.Voters[name] = config.Voter{Raft: freeAddr(b), Ledger: freeAddr(b)}
-				m.Voters[name] = f.Voters[name].Ledger
+				f.Voters[name] = config.Voter{RaftAddr: freeAddr(b), LedgerAddr: freeAddr(b)}
+				m.Voters[name] = f.Voters[name].LedgerAddr
 			}
 			for name := range f.Voters {
 				own := f
-				own.Dir = b.TempDir()
+				own.VoterDir = b.TempDir()
 				p, err := Start(Options{File: &own, Name: name, Log: m.Log, Listen: listen})
 				require.NoError(b, err)
 				defer func() { require.NoError(b, p.Close()) }()
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -65,7 +65,7 @@
 	core, err := dispatch.New(dispatch.Options{Settings: balance.Settings{FleetSize: 1, WorkerKinds: 1, MaxAttempts: 1,
 		ConnectTimeout: time.Second, Classes: []balance.Class{{Name: "f", Deadline: time.Second, WorkerKind: -1}}}})
 	require.NoError(t, err)
-	file := &config.Gearman{Functions: map[string]config.Function{"f": {Deadline: time.Second}},
+	file := &config.Gearman{Functions: map[string]config.FunctionDefaults{"f": {Deadline: time.Second}},
 		Limits: jobindex.Limits{PerClient: 4, PerFunction: map[string]int{}}}
 	return NewServer(core, Options{Log: slog.New(slog.DiscardHandler), Config: file, DispatcherName: "n0", MaxConnections: 10,
 		Workers: func() []dispatch.Worker { return []dispatch.Worker{{Name: "b\n"}, {Name: "a"}} }})
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -162,7 +162,7 @@
 
 // submitForeground takes a job that the client waits for. One of a function and unique id that
 // is open is the same job: this client becomes another of its waiters.
-func (c *client) submitForeground(j *job, f config.Function) {
+func (c *client) submitForeground(j *job, f config.FunctionDefaults) {
 	stored := c.stored(j)
 	c.mu.Lock()
 	if err := c.book.CheckJoin(c); err != nil {
@@ -217,7 +217,7 @@
 
 // request makes a job's next request. Its id is never one that a worker may still have
 // an attempt of. s.mu is held.
-func (s *Server) request(j *job, f config.Function) *dispatch.Request {
+func (s *Server) request(j *job, f config.FunctionDefaults) *dispatch.Request {
 	j.offers++
 	id := j.handle
 	if j.offers > 1 {
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -127,7 +127,7 @@
 // shutdown ends the process in order, where the file allows it. Both kinds drain: a job that was taken
 // is owed its answer.
 func (c *client) shutdown(f []string) string {
-	if !c.file.Shutdown || c.o.Shutdown == nil {
+	if !c.file.AllowShutdown || c.o.Shutdown == nil {
 		return errForbidden
 	}
 	if len(f) > 1 && f[1] != "graceful" {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	// File is the name of the bans' file in the shared folder.
-	File = "tinroute-hand"
-	// Every is how often the file is looked at for what the other process wrote: a ban taken
+	// StateFileName is the name of the bans' file in the shared folder.
+	StateFileName = "tinroute-hand"
+	// DefaultPollInterval is how often the file is looked at for what the other process wrote: a ban taken
 	// there binds here well within the drain's grace.
-	Every = 100 * time.Millisecond
+	DefaultPollInterval = 100 * time.Millisecond
 	// most bounds what is read of the file.
 	most = 1 << 20
 )
 
-// Options name the folder, the book and the log. Dir is os.TempDir() where empty.
-type Options struct {
-	Dir   string
-	Book  *override.Set
-	Log   *slog.Logger
-	Every time.Duration // Every where 0
-	Now   func() time.Time
+// SyncerOptions name the folder, the book and the log. Dir is os.TempDir() where empty.
+type SyncerOptions struct {
+	Dir          string
+	Overrides    *override.Set
+	Log          *slog.Logger
+	PollInterval time.Duration // Every where 0
+	Now          func() time.Time
 }
 
-// Keeper keeps the book and the file in step. Its zero value is not ready: use New.
-type Keeper struct {
-	o       Options
+// Syncer keeps the book and the file in step. Its zero value is not ready: use New.
+type Syncer struct {
+	o       SyncerOptions
 	path    string
 	written uint64 // the generation that the file holds, as far as this process knows
 	seen    fileState
@@ -53,13 +53,13 @@
 	ok   bool
 }
 
-// New returns a keeper; Start reads the file and keeps it.
-func New(o Options) *Keeper {
+// NewSyncer returns a keeper; Start reads the file and keeps it.
+func NewSyncer(o SyncerOptions) *Syncer {
 	if o.Dir == "" {
 		o.Dir = os.TempDir()
 	}
-	if o.Every <= 0 {
-		o.Every = Every
+	if o.PollInterval <= 0 {
+		o.PollInterval = DefaultPollInterval
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -67,15 +67,15 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Keeper{o: o, path: filepath.Join(o.Dir, File), stop: make(chan struct{})}
+	return &Syncer{o: o, path: filepath.Join(o.Dir, StateFileName), stop: make(chan struct{})}
 }
 
 // Start takes up what a predecessor left, before anything is served, and then keeps the file
 // in step until Close.
-func (k *Keeper) Start() {
+func (k *Syncer) Start() {
 	k.look("workers out by hand, taken over")
-	changed := k.o.Book.Subscribe()
-	tick := time.NewTicker(k.o.Every)
+	changed := k.o.Overrides.Subscribe()
+	tick := time.NewTicker(k.o.PollInterval)
 	k.done.Go(func() {
 		defer tick.Stop()
 		for {
@@ -93,13 +93,13 @@
 }
 
 // Close writes what is newest and stops.
-func (k *Keeper) Close() {
+func (k *Syncer) Close() {
 	close(k.stop)
 	k.done.Wait()
 }
 
 // look reads the file where it changed, and adopts what is newer, telling so by the line given.
-func (k *Keeper) look(line string) {
+func (k *Syncer) look(line string) {
 	info, err := os.Stat(k.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -128,16 +128,16 @@
 		return
 	}
 	k.told = ""
-	k.written = max(k.written, s.Gen)
-	if k.o.Book.Adopt(k.o.Now(), s) {
-		k.o.Log.Info(line, "ids", s.Out, "generation", s.Gen)
+	k.written = max(k.written, s.Generation)
+	if k.o.Overrides.Adopt(k.o.Now(), s) {
+		k.o.Log.Info(line, "ids", s.Detached, "generation", s.Generation)
 	}
 }
 
 // write puts the book's state down where it is newer than the file's.
-func (k *Keeper) write() {
-	s := k.o.Book.State()
-	if s.Gen <= k.written {
+func (k *Syncer) write() {
+	s := k.o.Overrides.State()
+	if s.Generation <= k.written {
 		return
 	}
 	data := override.Encode(s)
@@ -151,11 +151,11 @@
 		k.complain("cannot write the file of hand bans", err)
 		return
 	}
-	k.written = s.Gen // the next look reads it once, and finds nothing newer
+	k.written = s.Generation // the next look reads it once, and finds nothing newer
 }
 
 // complain tells of a fault with the file once, until it changes.
-func (k *Keeper) complain(what string, err error) {
+func (k *Syncer) complain(what string, err error) {
 	if text := what + ": " + err.Error(); text != k.told {
 		k.told = text
 		k.o.Log.Warn(what, "file", k.path, "err", err)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 
 func keeper(t *testing.T, dir string, log *slog.Logger) *override.Set {
 	b := override.New()
-	k := New(Options{Dir: dir, Book: b, Log: log, Every: 5 * time.Millisecond})
+	k := NewSyncer(SyncerOptions{Dir: dir, Overrides: b, Log: log, PollInterval: 5 * time.Millisecond})
 	k.Start()
 	t.Cleanup(k.Close)
 	return b
@@ -30,30 +30,30 @@
 func TestBansPassBetweenProcesses(t *testing.T) {
 	dir := t.TempDir()
 	old := keeper(t, dir, nil)
-	old.UpdateMembers(time.Now(), "s-1", "s-2")
+	old.RecordListed(time.Now(), "s-1", "s-2")
 	_, err := old.Detach(time.Now(), "s-1")
 	require.NoError(t, err)
 
 	fresh := keeper(t, dir, nil)
-	require.Eventually(t, func() bool { return fresh.Out("s-1") }, within, time.Millisecond, "not taken over at the start")
+	require.Eventually(t, func() bool { return fresh.IsDetached("s-1") }, within, time.Millisecond, "not taken over at the start")
 	_, err = fresh.Attach("s-1")
 	require.NoError(t, err, "a name taken over counts as listed")
 	_, err = fresh.Detach(time.Now(), "s-1")
 	require.NoError(t, err)
 	_, err = fresh.Attach("s-1")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !old.Out("s-1") }, within, time.Millisecond, "the old process keeps a ban lifted at the new one")
-	fresh.UpdateMembers(time.Now(), "s-2")
+	require.Eventually(t, func() bool { return !old.IsDetached("s-1") }, within, time.Millisecond, "the old process keeps a ban lifted at the new one")
+	fresh.RecordListed(time.Now(), "s-2")
 	_, err = fresh.Detach(time.Now(), "s-2")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return old.Out("s-2") }, within, time.Millisecond)
+	require.Eventually(t, func() bool { return old.IsDetached("s-2") }, within, time.Millisecond)
 }
 
 // The file is replaced whole: what a successor finds is one generation or the next, never a mix.
 func TestWrittenAtomically(t *testing.T) {
 	dir := t.TempDir()
 	b := keeper(t, dir, nil)
-	b.UpdateMembers(time.Now(), "s-1", "s-2")
+	b.RecordListed(time.Now(), "s-1", "s-2")
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	wg.Go(func() {
@@ -63,7 +63,7 @@
 				return
 			default:
 			}
-			if data, err := os.ReadFile(filepath.Join(dir, File)); err == nil {
+			if data, err := os.ReadFile(filepath.Join(dir, StateFileName)); err == nil {
 				_, err := override.Decode(data)
 				require.NoError(t, err, "a reader found a torn file")
 			}
@@ -81,19 +81,19 @@
 // A torn or foreign file is ignored with one line in the log, however often it is looked at.
 func TestTornFileIgnored(t *testing.T) {
 	dir := t.TempDir()
-	whole := override.Encode(override.State{Gen: 9, Out: []string{"s-1"}})
-	require.NoError(t, os.WriteFile(filepath.Join(dir, File), whole[:len(whole)-3], 0o600))
+	whole := override.Encode(override.State{Generation: 9, Detached: []string{"s-1"}})
+	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), whole[:len(whole)-3], 0o600))
 	log := &lockedBuffer{}
 	b := keeper(t, dir, slog.New(slog.NewTextHandler(log, nil)))
 	time.Sleep(50 * time.Millisecond) // some ten looks
-	require.False(t, b.Out("s-1"))
+	require.False(t, b.IsDetached("s-1"))
 	require.Equal(t, 1, strings.Count(log.String(), "file of hand bans ignored"), log.String())
 
-	require.NoError(t, os.WriteFile(filepath.Join(dir, File), []byte("something else\n"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), []byte("something else\n"), 0o600))
 	time.Sleep(50 * time.Millisecond)
 	require.Equal(t, 2, strings.Count(log.String(), "file of hand bans ignored"), "a new fault is told once more")
-	require.NoError(t, os.WriteFile(filepath.Join(dir, File), whole, 0o600))
-	require.Eventually(t, func() bool { return b.Out("s-1") }, within, time.Millisecond, "a good file after a bad one")
+	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), whole, 0o600))
+	require.Eventually(t, func() bool { return b.IsDetached("s-1") }, within, time.Millisecond, "a good file after a bad one")
 }
 
 // lockedBuffer is a log that the test reads while a keeper writes to it.
@@ -136,8 +136,8 @@
 
 	fresh := NewRelay(dir, nil, deliver(&atNew))
 	require.NoError(t, fresh.Start())
-	require.Equal(t, 1, fresh.Peers(), "the new process sees the old one at its start")
-	require.Eventually(t, func() bool { return old.Peers() == 1 }, within, time.Millisecond)
+	require.Equal(t, 1, fresh.PeerCount(), "the new process sees the old one at its start")
+	require.Eventually(t, func() bool { return old.PeerCount() == 1 }, within, time.Millisecond)
 	var want []string
 	for i := range 50 {
 		body := `{"id":"` + strings.Repeat("x", i) + `","state":"done"}`
@@ -160,6 +160,6 @@
 	for _, e := range entries {
 		require.NotContains(t, e.Name(), old.self, "the old process leaves nothing behind")
 	}
-	require.Eventually(t, func() bool { return fresh.Peers() == 0 }, 3*stale, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return fresh.PeerCount() == 0 }, 3*stale, 10*time.Millisecond)
 	fresh.Close()
 }
--- a/internal/handover/relay.go
+++ b/internal/handover/relay.go
@@ -81,8 +81,8 @@
 	_ = os.RemoveAll(r.inbox(r.self))
 }
 
-// Peers is the number of other processes that live.
-func (r *Relay) Peers() int { return len(*r.peers.Load()) }
+// PeerCount is the number of other processes that live.
+func (r *Relay) PeerCount() int { return len(*r.peers.Load()) }
 
 // Send puts a call-back in the inbox of every other process that lives, and tells whether there
 // was one.
@@ -127,7 +127,7 @@
 			r.look()
 			r.take() // also while alone: what came just before the other ended
 		case <-picks.C:
-			if r.Peers() > 0 {
+			if r.PeerCount() > 0 {
 				r.take()
 			}
 		}
@@ -150,7 +150,7 @@
 			peers = append(peers, p)
 		}
 	}
-	if len(peers) != r.Peers() {
+	if len(peers) != r.PeerCount() {
 		r.log.Info("processes beside this one", "count", len(peers))
 	}
 	r.peers.Store(&peers)
--- a/internal/ops/door.go
+++ b/internal/ops/door.go
@@ -29,14 +29,14 @@
 	// that the cores have not confirmed by then is answered no, and binds all the same.
 	answerWithin = 700 * time.Millisecond
 	writeWithin  = time.Second
-	// Most is the number of connections held at once by default, twice as many for callers that
+	// DefaultMaxConns is the number of connections held at once by default, twice as many for callers that
 	// come all at once. At the bound the oldest one without a whole call gives way to the new one:
 	// callers that hold connections idle cannot keep an operator out.
-	Most = 16
+	DefaultMaxConns = 16
 	// young is how long a new connection has to send its call before it may give way.
 	young = 100 * time.Millisecond
 	// maxID bounds the body of a call about a worker.
-	maxID = override.MaxName
+	maxID = override.MaxNameBytes
 	// lookEvery is how often a call about a worker looks whether the cores obey it.
 	lookEvery = 2 * time.Millisecond
 	// lookAgain is how long the accept loop rests after an error, out of descriptors most
@@ -56,17 +56,17 @@
 // goroutines and must not block for long; Heard is the least generation of the hand bans that
 // every core obeys.
 type Options struct {
-	Log     *slog.Logger
-	Most    int // connections at once; Most where 0
-	Ready   func() bool
-	Figures func() Figures
-	Hand    *override.Set
-	Heard   func() uint64
-	Now     func() time.Time // time.Now where nil
+	Log              *slog.Logger
+	MaxConns         int // connections at once; Most where 0
+	Ready            func() bool
+	Stats            func() Stats
+	Overrides        *override.Set
+	OverridesApplied func() uint64
+	Now              func() time.Time // time.Now where nil
 }
 
-// Door serves the operators' calls. Its zero value is not ready: use New.
-type Door struct {
+// Server serves the operators' calls. Its zero value is not ready: use New.
+type Server struct {
 	o          Options
 	limitedLog *limitedlog.Logger
 	mu         sync.Mutex
@@ -84,9 +84,9 @@
 }
 
 // New returns a door that serves once Serve is called.
-func New(o Options) *Door {
-	if o.Most <= 0 {
-		o.Most = Most
+func New(o Options) *Server {
+	if o.MaxConns <= 0 {
+		o.MaxConns = DefaultMaxConns
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -94,11 +94,11 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Door{o: o, limitedLog: limitedlog.New(o.Log, nil), conns: map[*call]bool{}}
+	return &Server{o: o, limitedLog: limitedlog.New(o.Log, nil), conns: map[*call]bool{}}
 }
 
 // Serve accepts calls until the listener is closed, or Close is called.
-func (d *Door) Serve(l net.Listener) error {
+func (d *Server) Serve(l net.Listener) error {
 	d.mu.Lock()
 	if d.closed {
 		d.mu.Unlock()
@@ -132,20 +132,20 @@
 // has had no time to send its call, so only one that has been silent for a while gives way at Most;
 // callers that come all at once are taken up to twice as many, and only there does the oldest
 // without a whole call give way, however young.
-func (d *Door) admit(c *call) bool {
+func (d *Server) admit(c *call) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return false
 	}
-	if len(d.conns) >= d.o.Most {
+	if len(d.conns) >= d.o.MaxConns {
 		var oldest *call
 		for o := range d.conns {
 			if !o.whole && (oldest == nil || o.since.Before(oldest.since)) {
 				oldest = o
 			}
 		}
-		if oldest != nil && (c.since.Sub(oldest.since) >= young || len(d.conns) >= 2*d.o.Most) {
+		if oldest != nil && (c.since.Sub(oldest.since) >= young || len(d.conns) >= 2*d.o.MaxConns) {
 			_ = oldest.Close() // its reader ends, and so does it
 			delete(d.conns, oldest)
 		}
@@ -154,7 +154,7 @@
 	return true
 }
 
-func (d *Door) leave(c *call) {
+func (d *Server) leave(c *call) {
 	_ = c.Close()
 	d.mu.Lock()
 	delete(d.conns, c)
@@ -162,7 +162,7 @@
 }
 
 // Close stops accepting, closes what is open, and returns when every call has ended.
-func (d *Door) Close() error {
+func (d *Server) Close() error {
 	d.mu.Lock()
 	d.closed = true
 	l := d.listener
@@ -179,7 +179,7 @@
 }
 
 // serve reads one call, answers it and ends.
-func (d *Door) serve(c *call) {
+func (d *Server) serve(c *call) {
 	_ = c.SetReadDeadline(c.since.Add(callWithin)) // for the whole call, however it trickles in
 	m, err := read(c.Conn)
 	if m == nil {
@@ -234,7 +234,7 @@
 func isMalformed(err error) bool { return errors.As(err, new(malformed)) }
 
 // answer decides the answer to a whole call that came at the instant given.
-func (d *Door) answer(m *platform.Message, came time.Time) (int, string) {
+func (d *Server) answer(m *platform.Message, came time.Time) (int, string) {
 	r := m.Request
 	want := map[string]string{PathReady: http.MethodGet, PathVars: http.MethodGet,
 		PathDetach: http.MethodPost, PathAttach: http.MethodPost}[r.URL.Path]
@@ -249,15 +249,15 @@
 		}
 		return http.StatusServiceUnavailable, "not ready"
 	case r.URL.Path == PathVars:
-		f := Figures{}
-		if d.o.Figures != nil {
-			f = d.o.Figures()
+		f := Stats{}
+		if d.o.Stats != nil {
+			f = d.o.Stats()
 		}
 		return http.StatusOK, string(f.AppendStatsd(nil))
 	}
 	id := string(bytes.TrimSpace(m.Body))
 	switch {
-	case d.o.Hand == nil:
+	case d.o.Overrides == nil:
 		return http.StatusNotImplemented, "no workers are taken out by hand here"
 	case id == "":
 		return http.StatusBadRequest, "the body names no worker"
@@ -267,14 +267,14 @@
 	var gen uint64
 	var err error
 	if r.URL.Path == PathDetach {
-		gen, err = d.o.Hand.Detach(d.o.Now(), id)
+		gen, err = d.o.Overrides.Detach(d.o.Now(), id)
 	} else {
-		gen, err = d.o.Hand.Attach(id)
+		gen, err = d.o.Overrides.Attach(id)
 	}
 	switch {
-	case errors.Is(err, override.ErrUnknown):
+	case errors.Is(err, override.ErrUnknownWorker):
 		return http.StatusNotFound, "no worker " + strconv.Quote(id) + " was ever listed"
-	case errors.Is(err, override.ErrFull):
+	case errors.Is(err, override.ErrTooManyDetached):
 		return http.StatusConflict, err.Error()
 	case err != nil:
 		return http.StatusInternalServerError, err.Error()
@@ -295,11 +295,11 @@
 }
 
 // obeyed waits until every core obeys the generation of the bans, or the instant given.
-func (d *Door) obeyed(gen uint64, by time.Time) bool {
-	if d.o.Heard == nil {
+func (d *Server) obeyed(gen uint64, by time.Time) bool {
+	if d.o.OverridesApplied == nil {
 		return true
 	}
-	for d.o.Heard() < gen {
+	for d.o.OverridesApplied() < gen {
 		if time.Now().After(by) {
 			return false
 		}
@@ -324,7 +324,7 @@
 	return s
 }
 
-func (d *Door) write(c *call, status int, text string) {
+func (d *Server) write(c *call, status int, text string) {
 	body := text
 	if !strings.HasSuffix(body, "\n") {
 		body += "\n"
--- a/internal/ops/door_test.go
+++ b/internal/ops/door_test.go
@@ -21,25 +21,25 @@
 	ready atomic.Bool
 	heard atomic.Uint64
 	book  *override.Set
-	door  *Door
+	door  *Server
 }
 
 // open serves a door on loopback; the cores obey every change at once unless lag is set.
 func open(t *testing.T, lag bool) *stand {
 	s := &stand{book: override.New()}
-	s.book.UpdateMembers(time.Now(), "s-1", "s-2")
+	s.book.RecordListed(time.Now(), "s-1", "s-2")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.addr = l.Addr().String()
-	d := New(Options{Ready: s.ready.Load, Hand: s.book,
-		Heard: func() uint64 {
+	d := New(Options{Ready: s.ready.Load, Overrides: s.book,
+		OverridesApplied: func() uint64 {
 			if lag {
 				return s.heard.Load()
 			}
-			return s.book.Gen()
+			return s.book.Generation()
 		},
-		Figures: func() Figures {
-			return Figures{Classes: []ClassFigures{{Name: "price-read", Success: 812, Busy: 3, Failure: 1, BackendCalls: 820}},
+		Stats: func() Stats {
+			return Stats{Classes: []ClassStats{{Name: "price-read", Success: 812, Busy: 3, Failure: 1, BackendCalls: 820}},
 				Inflight: 14, HostsListed: 9, HostsDown: 2}
 		}})
 	s.door = d
@@ -87,12 +87,12 @@
 	require.Equal(t, 404, code, "an id that was never listed")
 	code, _ = s.do(t, "POST", PathDetach, "s-1\n")
 	require.Equal(t, 200, code)
-	require.True(t, s.book.Out("s-1"))
+	require.True(t, s.book.IsDetached("s-1"))
 	code, _ = s.do(t, "POST", PathDetach, "s-1")
 	require.Equal(t, 200, code, "a repeated detach is a yes")
 	code, _ = s.do(t, "POST", PathAttach, "s-1")
 	require.Equal(t, 200, code)
-	require.False(t, s.book.Out("s-1"))
+	require.False(t, s.book.IsDetached("s-1"))
 
 	for _, bad := range []struct {
 		method, path, body string
@@ -103,12 +103,12 @@
 		{"GET", "/_nothing", "", 404},
 		{"POST", PathDetach, "", 400},
 		{"POST", PathDetach, "s 1", 400},
-		{"POST", PathAttach, strings.Repeat("s", override.MaxName+1), 400},
+		{"POST", PathAttach, strings.Repeat("s", override.MaxNameBytes+1), 400},
 	} {
 		code, _ := s.do(t, bad.method, bad.path, bad.body)
 		require.Equal(t, bad.code, code, "%s %s %q", bad.method, bad.path, bad.body)
 	}
-	require.False(t, s.book.Out("s-1"))
+	require.False(t, s.book.IsDetached("s-1"))
 }
 
 // A ban that the cores have not obeyed is answered no within the second, and binds once they do.
@@ -118,8 +118,8 @@
 	code, _ := s.do(t, "POST", PathDetach, "s-2")
 	require.Equal(t, 503, code)
 	require.Less(t, time.Since(began), time.Second)
-	require.True(t, s.book.Out("s-2"), "it binds all the same")
-	s.heard.Store(s.book.Gen())
+	require.True(t, s.book.IsDetached("s-2"), "it binds all the same")
+	s.heard.Store(s.book.Generation())
 	code, _ = s.do(t, "POST", PathDetach, "s-2")
 	require.Equal(t, 200, code)
 }
@@ -130,7 +130,7 @@
 	s := open(t, false)
 	s.ready.Store(true)
 	var slow []net.Conn
-	for i := range 3 * Most {
+	for i := range 3 * DefaultMaxConns {
 		c, err := net.Dial("tcp", s.addr)
 		require.NoError(t, err)
 		defer c.Close()
@@ -144,7 +144,7 @@
 	s.door.mu.Lock()
 	held := len(s.door.conns)
 	s.door.mu.Unlock()
-	require.LessOrEqual(t, held, 2*Most, "connections beyond the bound")
+	require.LessOrEqual(t, held, 2*DefaultMaxConns, "connections beyond the bound")
 	for range 5 {
 		began := time.Now()
 		code, _ := s.do(t, "GET", PathReady, "")
@@ -164,7 +164,7 @@
 	s := open(t, false)
 	s.ready.Store(true)
 	var conns []net.Conn
-	for range Most + Most/2 {
+	for range DefaultMaxConns + DefaultMaxConns/2 {
 		c, err := net.Dial("tcp", s.addr)
 		require.NoError(t, err)
 		defer c.Close()
@@ -190,8 +190,8 @@
 	f.Add([]byte("POST /_workers/attach HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-1\r\n0\r\n\r\n"))
 	f.Add([]byte("GET /_vars HTTP/1.0\r\n\r\n"))
 	book := override.New()
-	book.UpdateMembers(time.Now(), "s-1")
-	d := New(Options{Hand: book, Ready: func() bool { return true }, Heard: book.Gen})
+	book.RecordListed(time.Now(), "s-1")
+	d := New(Options{Overrides: book, Ready: func() bool { return true }, OverridesApplied: book.Generation})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fr := platform.NewRequestFramer()
 		fr.Feed(b)
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -18,18 +18,18 @@
 	"time"
 )
 
-// Bounds. A name longer than MaxName is no worker's; MaxListed names are remembered as
-// listed, the longest unlisted ones forgotten beyond that; MaxOut workers can be out at once.
+// Bounds. A name longer than MaxNameBytes is no worker's; MaxListed names are remembered as
+// listed, the longest unlisted ones forgotten beyond that; MaxDetached workers can be out at once.
 const (
-	MaxName   = 256
-	MaxListed = 1 << 14
-	MaxOut    = 1024
+	MaxNameBytes = 256
+	MaxListed    = 1 << 14
+	MaxDetached  = 1024
 )
 
 // Errors of Detach and Attach.
 var (
-	ErrUnknown = errors.New("no worker of this id was ever listed")
-	ErrFull    = errors.New("too many workers out by hand")
+	ErrUnknownWorker   = errors.New("no worker of this id was ever listed")
+	ErrTooManyDetached = errors.New("too many workers out by hand")
 )
 
 // Set is the set of workers out by hand, with the names that were ever listed.
@@ -44,9 +44,9 @@
 // New returns an empty book.
 func New() *Set { return &Set{out: map[string]time.Time{}, listed: map[string]time.Time{}} }
 
-// Gen is the generation of the set: it grows with every change, here or adopted. Any goroutine
+// Generation is the generation of the set: it grows with every change, here or adopted. Any goroutine
 // may ask it, cheaply.
-func (b *Set) Gen() uint64 { return b.gen.Load() }
+func (b *Set) Generation() uint64 { return b.gen.Load() }
 
 // Subscribe returns a channel that is given a signal, without blocking, after each change.
 func (b *Set) Subscribe() <-chan struct{} {
@@ -57,13 +57,13 @@
 	return ch
 }
 
-// UpdateMembers notes names that a discovery lists now. An id never listed cannot be taken out or
+// RecordListed notes names that a discovery lists now. An id never listed cannot be taken out or
 // back.
-func (b *Set) UpdateMembers(now time.Time, names ...string) {
+func (b *Set) RecordListed(now time.Time, names ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range names {
-		if len(n) <= MaxName {
+		if len(n) <= MaxNameBytes {
 			b.listed[n] = now
 		}
 	}
@@ -91,13 +91,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, ok := b.listed[name]; !ok {
-		return b.gen.Load(), ErrUnknown
+		return b.gen.Load(), ErrUnknownWorker
 	}
 	if _, ok := b.out[name]; ok {
 		return b.gen.Load(), nil
 	}
-	if len(b.out) >= MaxOut {
-		return b.gen.Load(), ErrFull
+	if len(b.out) >= MaxDetached {
+		return b.gen.Load(), ErrTooManyDetached
 	}
 	b.out[name] = now
 	return b.changed(), nil
@@ -109,7 +109,7 @@
 	defer b.mu.Unlock()
 	if _, ok := b.listed[name]; !ok {
 		if _, out := b.out[name]; !out {
-			return b.gen.Load(), ErrUnknown
+			return b.gen.Load(), ErrUnknownWorker
 		}
 	}
 	if _, ok := b.out[name]; !ok {
@@ -130,8 +130,8 @@
 	return g
 }
 
-// Out tells whether a worker is out by hand.
-func (b *Set) Out(name string) bool {
+// IsDetached tells whether a worker is out by hand.
+func (b *Set) IsDetached(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.out[name]
@@ -140,19 +140,19 @@
 
 // State is what a successor needs: the names out, in order, and the generation they are of.
 type State struct {
-	Gen uint64
-	Out []string
+	Generation uint64
+	Detached   []string
 }
 
 // State returns the book's state.
 func (b *Set) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := State{Gen: b.gen.Load(), Out: make([]string, 0, len(b.out))}
+	s := State{Generation: b.gen.Load(), Detached: make([]string, 0, len(b.out))}
 	for n := range b.out {
-		s.Out = append(s.Out, n)
+		s.Detached = append(s.Detached, n)
 	}
-	slices.Sort(s.Out)
+	slices.Sort(s.Detached)
 	return s
 }
 
@@ -161,12 +161,12 @@
 func (b *Set) Adopt(now time.Time, s State) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s.Gen <= b.gen.Load() {
+	if s.Generation <= b.gen.Load() {
 		return false
 	}
-	same := len(s.Out) == len(b.out)
-	out := make(map[string]time.Time, len(s.Out))
-	for _, n := range s.Out[:min(len(s.Out), MaxOut)] {
+	same := len(s.Detached) == len(b.out)
+	out := make(map[string]time.Time, len(s.Detached))
+	for _, n := range s.Detached[:min(len(s.Detached), MaxDetached)] {
 		at, was := b.out[n]
 		if !was {
 			at, same = now, false
@@ -175,7 +175,7 @@
 		b.listed[n] = now
 	}
 	b.out = out
-	b.gen.Store(s.Gen)
+	b.gen.Store(s.Generation)
 	if !same {
 		for _, ch := range b.subs {
 			select {
@@ -196,9 +196,9 @@
 // Encode writes a state down for a successor.
 func Encode(s State) []byte {
 	b := append([]byte(magic), make([]byte, 12)...)
-	binary.BigEndian.PutUint64(b[len(magic):], s.Gen)
-	binary.BigEndian.PutUint32(b[len(magic)+8:], uint32(len(s.Out)))
-	for _, n := range s.Out {
+	binary.BigEndian.PutUint64(b[len(magic):], s.Generation)
+	binary.BigEndian.PutUint32(b[len(magic)+8:], uint32(len(s.Detached)))
+	for _, n := range s.Detached {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(n)))
 		b = append(b, n...)
 	}
@@ -215,10 +215,10 @@
 	if crc32.Checksum(body, castagnoli) != sum {
 		return s, errors.New("checksum does not match: torn or damaged")
 	}
-	s.Gen = binary.BigEndian.Uint64(body[len(magic):])
+	s.Generation = binary.BigEndian.Uint64(body[len(magic):])
 	n := int(binary.BigEndian.Uint32(body[len(magic)+8:]))
 	rest := body[len(magic)+12:]
-	if n > MaxOut {
+	if n > MaxDetached {
 		return State{}, errors.New("more names than a book holds")
 	}
 	for range n {
@@ -226,10 +226,10 @@
 			return State{}, errors.New("cut short")
 		}
 		l := int(binary.BigEndian.Uint16(rest))
-		if l == 0 || l > MaxName || len(rest) < 2+l {
+		if l == 0 || l > MaxNameBytes || len(rest) < 2+l {
 			return State{}, errors.New("a name out of bounds")
 		}
-		s.Out = append(s.Out, strings.Clone(string(rest[2:2+l])))
+		s.Detached = append(s.Detached, strings.Clone(string(rest[2:2+l])))
 		rest = rest[2+l:]
 	}
 	if len(rest) != 0 {
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -15,11 +15,11 @@
 func TestDetachAttach(t *testing.T) {
 	b := New()
 	_, err := b.Detach(t0, "s-1")
-	require.ErrorIs(t, err, ErrUnknown)
+	require.ErrorIs(t, err, ErrUnknownWorker)
 	_, err = b.Attach("s-1")
-	require.ErrorIs(t, err, ErrUnknown)
+	require.ErrorIs(t, err, ErrUnknownWorker)
 
-	b.UpdateMembers(t0, "s-1", "s-2")
+	b.RecordListed(t0, "s-1", "s-2")
 	changes := b.Subscribe()
 	g1, err := b.Detach(t0, "s-1")
 	require.NoError(t, err)
@@ -29,13 +29,13 @@
 	require.NoError(t, err)
 	require.Equal(t, g1, g2, "a repeated detach is no change")
 	require.Empty(t, changes)
-	require.True(t, b.Out("s-1"))
-	require.False(t, b.Out("s-2"))
+	require.True(t, b.IsDetached("s-1"))
+	require.False(t, b.IsDetached("s-2"))
 
 	g3, err := b.Attach("s-1")
 	require.NoError(t, err)
 	require.Greater(t, g3, g2)
-	require.False(t, b.Out("s-1"))
+	require.False(t, b.IsDetached("s-1"))
 	g4, err := b.Attach("s-1")
 	require.NoError(t, err)
 	require.Equal(t, g3, g4, "attaching a worker that is not out changes nothing")
@@ -44,34 +44,34 @@
 func TestBounds(t *testing.T) {
 	b := New()
 	for i := range MaxListed + 10 {
-		b.UpdateMembers(t0.Add(time.Duration(i)), string(rune(0x1000+i)))
+		b.RecordListed(t0.Add(time.Duration(i)), string(rune(0x1000+i)))
 	}
 	require.LessOrEqual(t, len(b.listed), MaxListed, "what is listed is bounded")
-	b.UpdateMembers(t0.Add(time.Hour), "last")
-	for i := range MaxOut {
+	b.RecordListed(t0.Add(time.Hour), "last")
+	for i := range MaxDetached {
 		name := "w" + string(rune(0x1000+i))
-		b.UpdateMembers(t0.Add(time.Hour), name)
+		b.RecordListed(t0.Add(time.Hour), name)
 		_, err := b.Detach(t0, name)
 		require.NoError(t, err)
 	}
 	_, err := b.Detach(t0, "last")
-	require.ErrorIs(t, err, ErrFull)
-	require.Len(t, b.State().Out, MaxOut)
-	long := string(make([]byte, MaxName+1))
-	b.UpdateMembers(t0, long)
+	require.ErrorIs(t, err, ErrTooManyDetached)
+	require.Len(t, b.State().Detached, MaxDetached)
+	long := string(make([]byte, MaxNameBytes+1))
+	b.RecordListed(t0, long)
 	_, err = b.Detach(t0, long)
-	require.ErrorIs(t, err, ErrUnknown, "no worker has such a name")
+	require.ErrorIs(t, err, ErrUnknownWorker, "no worker has such a name")
 }
 
 // A successor adopts only what is newer, and names in it count as listed: the ban can be lifted
 // there before the table lists the worker.
 func TestAdopt(t *testing.T) {
 	b := New()
-	require.True(t, b.Adopt(t0, State{Gen: 5, Out: []string{"s-1"}}))
-	require.True(t, b.Out("s-1"))
-	require.False(t, b.Adopt(t0, State{Gen: 5}), "the same generation again")
-	require.False(t, b.Adopt(t0, State{Gen: 4}))
-	require.True(t, b.Out("s-1"))
+	require.True(t, b.Adopt(t0, State{Generation: 5, Detached: []string{"s-1"}}))
+	require.True(t, b.IsDetached("s-1"))
+	require.False(t, b.Adopt(t0, State{Generation: 5}), "the same generation again")
+	require.False(t, b.Adopt(t0, State{Generation: 4}))
+	require.True(t, b.IsDetached("s-1"))
 	g, err := b.Attach("s-1")
 	require.NoError(t, err)
 	require.Equal(t, uint64(6), g)
@@ -81,11 +81,11 @@
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringMatching(`[a-z0-9-]{1,40}`)
-		s := State{Gen: rapid.Uint64().Draw(t, "gen"), Out: rapid.SliceOfNDistinct(name, 0, 50, rapid.ID).Draw(t, "out")}
+		s := State{Generation: rapid.Uint64().Draw(t, "gen"), Detached: rapid.SliceOfNDistinct(name, 0, 50, rapid.ID).Draw(t, "out")}
 		got, err := Decode(Encode(s))
 		require.NoError(t, err)
-		if len(s.Out) == 0 {
-			s.Out = nil
+		if len(s.Detached) == 0 {
+			s.Detached = nil
 		}
 		require.Equal(t, s, got)
 	})
@@ -93,7 +93,7 @@
 
 // A torn or damaged file is never taken for a state: every cut and every flipped bit is seen.
 func TestDecodeTornAndDamaged(t *testing.T) {
-	whole := Encode(State{Gen: 3, Out: []string{"s-5be2a07c", "s-0badcafe"}})
+	whole := Encode(State{Generation: 3, Detached: []string{"s-5be2a07c", "s-0badcafe"}})
 	for n := range len(whole) {
 		_, err := Decode(whole[:n])
 		require.Error(t, err, "cut at %d", n)
@@ -109,14 +109,14 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(State{Gen: 1, Out: []string{"s-1"}}))
+	f.Add(Encode(State{Generation: 1, Detached: []string{"s-1"}}))
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Decode(b)
 		if err != nil {
 			return
 		}
-		require.LessOrEqual(t, len(s.Out), MaxOut)
+		require.LessOrEqual(t, len(s.Detached), MaxDetached)
 		again, err := Decode(Encode(s))
 		require.NoError(t, err)
 		require.Equal(t, s, again)
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -297,7 +297,7 @@
 		to.ObserveFloat64(queue, float64(v.Queued), metric.WithAttributes(f))
 		to.ObserveFloat64(open, float64(core.Open()), metric.WithAttributes(f))
 		for i, w := range v.Workers {
-			if i >= min(t.o.Regions, dispatch.MaxViewNames) { // a sum over the rest would mix what cannot be added
+			if i >= min(t.o.MaxWorkerSeries, dispatch.MaxViewNames) { // a sum over the rest would mix what cannot be added
 				break
 			}
 			a := metric.WithAttributes(f, attribute.String("region", v.Names[w.ID]))
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -110,7 +110,7 @@
 	limits := o.Sampling
 	limits.Bytes = int64(float64(limits.Bytes) * (1 - laneShare*float64(len(o.Endpoints))))
 	t := &Telemetry{o: o, log: log, lanes: map[otlp.Signal]*otlp.Lane{}, sampler: tailsampling.New(limits), began: time.Now(),
-		rest: make(chan struct{}), worked: make(chan struct{}), regions: names{o.Regions, map[string]bool{}}, tenants: names{o.Tenants, map[string]bool{}},
+		rest: make(chan struct{}), worked: make(chan struct{}), regions: names{o.MaxWorkerSeries, map[string]bool{}}, tenants: names{o.MaxTenantSeries, map[string]bool{}},
 		reasons: names{reasonsTold, map[string]bool{}}, sets: map[string]metric.MeasurementOption{}}
 	run, stop := context.WithCancel(context.Background())
 	t.stop = stop
@@ -125,10 +125,10 @@
 			stop()
 			return nil, fmt.Errorf("telemetry: %s: %w", s, err)
 		}
-		lane := otlp.Options{Signal: s, Transport: transport, Log: log, Bytes: int64(laneShare * float64(o.Sampling.Bytes)), Pace: o.SpoolPace,
+		lane := otlp.Options{Signal: s, Transport: transport, Log: log, Bytes: int64(laneShare * float64(o.Sampling.Bytes)), Pace: o.SpoolInterval,
 			Seed: uint64(time.Now().UnixNano())}
-		if o.Spool != "" {
-			if lane.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(o.Spool, s.String()), Bytes: o.SpoolMost / int64(len(o.Endpoints))}); err != nil {
+		if o.SpoolDir != "" {
+			if lane.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(o.SpoolDir, s.String()), Bytes: o.SpoolMaxBytes / int64(len(o.Endpoints))}); err != nil {
 				stop()
 				return nil, fmt.Errorf("telemetry: spool.dir: %w", err)
 			}
@@ -173,7 +173,7 @@
 		if err != nil {
 			return err
 		}
-		t.meters = sdkmetric.NewMeterProvider(sdkmetric.WithResource(res), sdkmetric.WithReader(sdkmetric.NewPeriodicReader(x, sdkmetric.WithInterval(t.o.Interval))),
+		t.meters = sdkmetric.NewMeterProvider(sdkmetric.WithResource(res), sdkmetric.WithReader(sdkmetric.NewPeriodicReader(x, sdkmetric.WithInterval(t.o.MetricInterval))),
 			sdkmetric.WithView(sdkmetric.NewView(sdkmetric.Instrument{Kind: sdkmetric.InstrumentKindHistogram},
 				sdkmetric.Stream{Aggregation: sdkmetric.AggregationBase2ExponentialHistogram{MaxSize: 160, MaxScale: 20}})))
 		meters, t.meter = t.meters, t.meters.Meter(scope)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -151,7 +151,7 @@
 }
 
 func (d *Decoder) up() {
-	s, names, err := config.Settings(d.at(3))
+	s, names, err := config.ParseSettings(d.at(3))
 	if d.err == nil && err != nil {
 		d.err = fmt.Errorf("%s: facts: %w", d.what, err)
 	}
