--- a/internal/background/loop.go
+++ b/internal/background/loop.go
@@ -10,68 +10,69 @@
 	"tinroute.example/tinroute/internal/recovery"
 )
 
-// Run offers jobs until the context ends, then writes down what has ended.
-func (k *Scheduler) Run(ctx context.Context) {
-	defer close(k.ended)
+// Run offers jobs until the context ends, then records the offers that have ended.
+func (s *Scheduler) Run(ctx context.Context) {
+	defer close(s.stopped)
 	go func() {
-		if n, err := k.o.Store.Verify(ctx); err == nil && n > 0 {
-			k.o.Log.Info("stored jobs read", "jobs", n, "damaged", k.o.Store.Counts().Damaged)
+		if n, err := s.opts.Store.Verify(ctx); err == nil && n > 0 {
+			s.opts.Log.Info("verified the stored jobs", "jobs", n, "damaged", s.opts.Store.Counts().Damaged)
 		}
 	}()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	unstick := time.NewTicker(unstickEvery)
-	defer unstick.Stop()
+	writeRetryTicker := time.NewTicker(writeRetryInterval)
+	defer writeRetryTicker.Stop()
 	for {
-		wait := k.turn()
+		wait := s.runOnce()
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
-			k.turn()
+			s.runOnce()
 			return
-		case <-k.wake:
+		case <-s.wake:
 		case <-timer.C:
-		case <-unstick.C:
-			k.retryStuck()
+		case <-writeRetryTicker.C:
+			s.retryFailedWrites()
 		}
 	}
 }
 
-// Wait waits until Run has ended.
-func (k *Scheduler) Wait() { <-k.ended }
+// Wait blocks until Run has returned.
+func (s *Scheduler) Wait() { <-s.stopped }
 
-// turn does what there is to do and tells how long it can wait then.
-func (k *Scheduler) turn() (wait time.Duration) {
-	k.mu.Lock()
-	ends, asked, draining := k.ends, k.asked, k.draining
-	k.ends, k.asked = nil, nil
-	k.mu.Unlock()
-	for _, e := range ends {
-		k.settle(e)
+// runOnce processes ended offers and promotions and offers the jobs that are due. It returns how
+// long Run may wait before the next call.
+func (s *Scheduler) runOnce() (wait time.Duration) {
+	s.mu.Lock()
+	endedOffers, promotions, draining := s.endedOffers, s.promotions, s.draining
+	s.endedOffers, s.promotions = nil, nil
+	s.mu.Unlock()
+	for _, ended := range endedOffers {
+		s.processEnd(ended)
 	}
-	for _, a := range asked {
-		k.promote(a, draining)
+	for _, p := range promotions {
+		s.promote(p, draining)
 	}
-	wait = look
+	wait = maxPollInterval
 	for !draining {
-		k.mu.Lock()
-		may, later := k.pace.CanOffer(k.Now())
-		var f *flight
-		if may && len(k.ready) > 0 {
-			f, k.ready = k.ready[0], k.ready[1:]
+		s.mu.Lock()
+		canOffer, rateDelay := s.pacer.CanOffer(s.Now())
+		var job *activeJob
+		if canOffer && len(s.ready) > 0 {
+			job, s.ready = s.ready[0], s.ready[1:]
 		}
-		empty := len(k.ready) == 0
-		k.mu.Unlock()
+		empty := len(s.ready) == 0
+		s.mu.Unlock()
 		switch {
-		case f != nil:
-			k.offer(f)
-		case !may:
-			if later > 0 {
-				wait = min(wait, later)
+		case job != nil:
+			s.offer(job)
+		case !canOffer:
+			if rateDelay > 0 {
+				wait = min(wait, rateDelay)
 			}
-			return wait // an end, a send or the rate's time wakes it
+			return wait // Run wakes up when an offer ends or is sent, or when the rate allows the next offer
 		case empty:
-			next, more := k.read()
+			next, more := s.readDue()
 			if !more {
 				if next > 0 {
 					wait = min(wait, next)
@@ -83,215 +84,222 @@
 	return wait
 }
 
-// read fetches jobs that are due, and tells when the next will be where there are none.
-func (k *Scheduler) read() (next time.Duration, more bool) {
+// readDue reads jobs that are due from the store. more is false if there are none; next is then the
+// time until the next job is due, or 0.
+func (s *Scheduler) readDue() (next time.Duration, more bool) {
 	skip := func(id uint64) bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.held[id] != nil
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.active[id] != nil
 	}
-	due, next, err := k.o.Store.Due(k.Now(), time.Duration(k.o.WallClock().UnixNano()), k.planner.MaxBackoff+k.planner.Expiry, page, skip)
-	if err != nil { // the store has said so in the log
+	due, next, err := s.opts.Store.Due(s.Now(), time.Duration(s.opts.WallClock().UnixNano()),
+		s.planner.MaxBackoff+s.planner.Expiry, pageSize, skip)
+	if err != nil { // the store has logged it
 		return 0, false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, j := range due {
-		f := &flight{job: j}
-		k.held[j.Job.ID] = f
-		k.ready = append(k.ready, f)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, stored := range due {
+		job := &activeJob{stored: stored}
+		s.active[stored.Job.ID] = job
+		s.ready = append(s.ready, job)
 	}
 	return next, len(due) > 0
 }
 
-// plan is what recovery is told of a job.
-func (k *Scheduler) plan(j *jobstore.Stored, c *balance.Class) *recovery.Job {
-	p := &recovery.Job{Effect: c.Idempotency, Group: c.DedupScope, DedupWindow: c.DedupWindow, EligibleAt: j.Job.Accepted, Offers: j.State.Offers,
-		Sends: j.State.Sends, HistoryUnknown: j.Lost}
-	if j.Job.Timed {
-		p.EligibleAt = max(p.EligibleAt, j.State.Due)
+// planInput returns the description of a job for the planner.
+func (s *Scheduler) planInput(stored *jobstore.Stored, class *balance.Class) *recovery.Job {
+	input := &recovery.Job{Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow,
+		EligibleAt: stored.Job.Accepted, Offers: stored.State.Offers, Sends: stored.State.Sends, HistoryUnknown: stored.Lost}
+	if stored.Job.Timed {
+		input.EligibleAt = max(input.EligibleAt, stored.State.Due)
 	}
-	p.EligibleAt = max(p.EligibleAt, j.State.Released)
-	if s := j.State.First; s != nil {
-		p.FirstSend = &recovery.Send{Zone: s.Zone, Cell: s.Cell, At: s.At}
-		p.HistoryUnknown = p.HistoryUnknown || k.o.Store.ClockBack() && s.At < k.started
+	input.EligibleAt = max(input.EligibleAt, stored.State.Released)
+	if first := stored.State.First; first != nil {
+		input.FirstSend = &recovery.Send{Zone: first.Zone, Cell: first.Cell, At: first.At}
+		input.HistoryUnknown = input.HistoryUnknown || s.opts.Store.ClockBack() && first.At < s.startedAt
 	}
-	return p
+	return input
 }
 
-// offer gives a job to the front, or ends it.
-func (k *Scheduler) offer(f *flight) {
-	now := k.Now()
-	c := k.front.Class(f.job.Job.Function)
-	k.mu.Lock()
-	if f.over || k.draining {
-		if !f.over {
-			delete(k.held, f.job.Job.ID)
+// offer offers a job to the job server, or makes it a dead letter if the planner decides so.
+func (s *Scheduler) offer(job *activeJob) {
+	now := s.Now()
+	class := s.server.Class(job.stored.Job.Function)
+	s.mu.Lock()
+	if job.finished || s.draining {
+		if !job.finished {
+			delete(s.active, job.stored.Job.ID)
 		}
-		k.mu.Unlock()
+		s.mu.Unlock()
 		return
 	}
-	d := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
-	if c != nil {
-		d = k.planner.BeforeOffer(now, k.plan(f.job, c))
+	decision := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
+	if class != nil {
+		decision = s.planner.BeforeOffer(now, s.planInput(job.stored, class))
 	}
-	if d.Action == recovery.ActionDeadLetter {
-		k.mu.Unlock()
-		k.bury(f, d.Reason)
+	if decision.Action == recovery.ActionDeadLetter {
+		s.mu.Unlock()
+		s.deadLetter(job, decision.Reason)
 		return
 	}
-	f.offered, f.sent = true, false
-	k.pace.Offered(now)
-	k.counts.Offered++
-	k.mu.Unlock()
-	k.front.Offer(f.job, d.Earlier)
+	job.offered, job.sent = true, false
+	s.pacer.Offered(now)
+	s.counts.Offered++
+	s.mu.Unlock()
+	s.server.Offer(job.stored, decision.PriorAttempt)
 }
 
-func (k *Scheduler) promote(a asked, draining bool) {
-	id := a.id
-	k.mu.Lock()
-	f := k.held[id]
-	if f != nil {
-		for i, r := range k.ready {
-			if r == f {
-				k.ready = append(k.ready[:i:i], k.ready[i+1:]...)
-				k.mu.Unlock()
-				k.offer(f)
+// promote offers a job now if it is stored and due.
+func (s *Scheduler) promote(p promotion, draining bool) {
+	id := p.id
+	s.mu.Lock()
+	job := s.active[id]
+	if job != nil {
+		for i, ready := range s.ready {
+			if ready == job {
+				s.ready = append(s.ready[:i:i], s.ready[i+1:]...)
+				s.mu.Unlock()
+				s.offer(job)
 				return
 			}
 		}
-		over := f.over
-		k.mu.Unlock()
-		if over {
-			k.front.JobNotFound(a.handle)
+		finished := job.finished
+		s.mu.Unlock()
+		if finished {
+			s.server.JobNotFound(p.handle)
 		}
 		return
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	if draining {
 		return
 	}
-	j, err := k.o.Store.Get(id)
+	stored, err := s.opts.Store.Get(id)
 	switch {
-	case errors.Is(err, jobstore.ErrUnknown) || err == nil && j.State.Dead != "": // it has ended meanwhile
-		k.front.JobNotFound(a.handle)
+	case errors.Is(err, jobstore.ErrUnknown) || err == nil && stored.State.Dead != "": // it has already ended
+		s.server.JobNotFound(p.handle)
 		return
-	case err != nil: // the store has said so in the log
+	case err != nil: // the store has logged it
 		return
 	}
-	if j.State.Timed && j.State.Due > time.Duration(k.o.WallClock().UnixNano()) {
+	if stored.State.Timed && stored.State.Due > time.Duration(s.opts.WallClock().UnixNano()) {
 		return
 	}
-	f = &flight{job: j}
-	k.mu.Lock()
-	k.held[id] = f
-	k.mu.Unlock()
-	k.offer(f)
+	job = &activeJob{stored: stored}
+	s.mu.Lock()
+	s.active[id] = job
+	s.mu.Unlock()
+	s.offer(job)
 }
 
-// settle writes down what an offer's end comes to.
-func (k *Scheduler) settle(e end) {
-	now := k.Now()
-	k.mu.Lock()
-	f := k.held[e.id]
-	if f == nil || f.over || !f.offered {
-		k.mu.Unlock()
+// processEnd decides what to do after an offer has ended and writes the change to the store.
+func (s *Scheduler) processEnd(ended offerEnd) {
+	now := s.Now()
+	s.mu.Lock()
+	job := s.active[ended.id]
+	if job == nil || job.finished || !job.offered {
+		s.mu.Unlock()
 		return
 	}
-	k.pace.Ended(now, f.sent, e.how)
-	f.offered = false
-	if k.draining && e.how != recovery.OutcomeServed { // it stays as it is written
-		delete(k.held, e.id)
-		k.mu.Unlock()
+	s.pacer.Ended(now, job.sent, ended.outcome)
+	job.offered = false
+	if s.draining && ended.outcome != recovery.OutcomeServed { // its record in the store stays unchanged
+		delete(s.active, ended.id)
+		s.mu.Unlock()
 		return
 	}
-	f.job.State.Offers++
-	d := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
-	if c := k.front.Class(f.job.Job.Function); c != nil {
-		d = k.planner.AfterOffer(now, k.plan(f.job, c), e.how, e.after)
+	job.stored.State.Offers++
+	decision := recovery.Decision{Action: recovery.ActionDeadLetter, Reason: recovery.ReasonNoFunction}
+	if class := s.server.Class(job.stored.Job.Function); class != nil {
+		decision = s.planner.AfterOffer(now, s.planInput(job.stored, class), ended.outcome, ended.retryAfter)
 	}
-	switch d.Action {
+	switch decision.Action {
 	case recovery.ActionDone:
-		f.over = true
-		k.counts.Served++
+		job.finished = true
+		s.counts.Served++
 	case recovery.ActionWait, recovery.ActionOffer:
-		k.counts.Retried++
-		again(f.job.State, max(d.At, now))
+		s.counts.Retried++
+		reschedule(job.stored.State, max(decision.At, now))
 	}
-	due := f.job.State.Due
-	k.mu.Unlock()
-	switch d.Action {
+	due := job.stored.State.Due
+	s.mu.Unlock()
+	switch decision.Action {
 	case recovery.ActionDone:
-		k.write(e.id, func(done func(error)) { k.o.Store.Remove(e.id, done) })
+		s.writeWithRetry(ended.id, func(done func(error)) { s.opts.Store.Remove(ended.id, done) })
 	case recovery.ActionDeadLetter:
-		k.bury(f, d.Reason)
+		s.deadLetter(job, decision.Reason)
 	default:
-		k.write(e.id, func(done func(error)) {
-			k.o.Store.Change(e.id, func(st *jobstore.State) {
-				st.Offers++
-				again(st, due)
+		s.writeWithRetry(ended.id, func(done func(error)) {
+			s.opts.Store.Change(ended.id, func(state *jobstore.State) {
+				state.Offers++
+				reschedule(state, due)
 			}, done)
 		})
 	}
 }
 
-// again makes a job due at a time of our own clock. Its expiry goes on counting from the instant
-// that its client named.
-func again(st *jobstore.State, due time.Duration) {
-	if st.Timed {
-		st.Released = st.Due
+// reschedule sets the time of a job's next offer, by the scheduler's own clock. The expiry still
+// counts from the time that the client scheduled.
+func reschedule(state *jobstore.State, due time.Duration) {
+	if state.Timed {
+		state.Released = state.Due
 	}
-	st.Due, st.Timed = due, false
+	state.Due, state.Timed = due, false
 }
 
-func (k *Scheduler) bury(f *flight, reason string) {
-	now, id := k.Now(), f.job.Job.ID
-	k.mu.Lock()
-	f.over = true
-	f.job.State.Dead = reason
-	k.counts.DeadLettered++
-	k.mu.Unlock()
-	k.o.Log.Warn("background job is dead", "handle", f.job.Job.Handle, "function", f.job.Job.Function, "why", reason)
-	k.front.DeadLettered(f.job, reason)
-	lost, state := f.job.Lost, *f.job.State
-	k.write(id, func(done func(error)) {
-		if lost { // there is no state to change: it is written anew
-			j := *f.job.Job
+// deadLetter makes a job a dead letter.
+func (s *Scheduler) deadLetter(job *activeJob, reason string) {
+	now, id := s.Now(), job.stored.Job.ID
+	s.mu.Lock()
+	job.finished = true
+	job.stored.State.Dead = reason
+	s.counts.DeadLettered++
+	s.mu.Unlock()
+	s.opts.Log.Warn("background job moved to the dead letters", "handle", job.stored.Job.Handle,
+		"function", job.stored.Job.Function, "why", reason)
+	s.server.DeadLettered(job.stored, reason)
+	lost, state := job.stored.Lost, *job.stored.State
+	s.writeWithRetry(id, func(done func(error)) {
+		if lost { // its state was unreadable: write a new record
+			record := *job.stored.Job
 			state.Since = now
-			k.o.Store.Rewrite(&j, &state, done)
+			s.opts.Store.Rewrite(&record, &state, done)
 			return
 		}
-		k.o.Store.Change(id, func(st *jobstore.State) { st.Dead, st.Since = reason, now }, done)
+		s.opts.Store.Change(id, func(state *jobstore.State) { state.Dead, state.Since = reason, now }, done)
 	})
 }
 
-// write makes a change that must come to be. Until the store has taken it the job stays held,
-// so that it cannot be offered again by what is still written.
-func (k *Scheduler) write(id uint64, change func(done func(error))) {
+// writeWithRetry makes a change to the store. A change that fails is retried, unless the job is no
+// longer stored or the store is closed. The job stays active until then, so that it is not offered
+// again on the basis of its old record.
+func (s *Scheduler) writeWithRetry(id uint64, change func(done func(error))) {
 	change(func(err error) {
-		k.mu.Lock()
+		s.mu.Lock()
 		if err != nil && !errors.Is(err, jobstore.ErrUnknown) && !errors.Is(err, jobstore.ErrClosed) {
-			k.stuck = append(k.stuck, func() { k.write(id, change) })
+			s.failedWrites = append(s.failedWrites, func() { s.writeWithRetry(id, change) })
 		} else {
-			delete(k.held, id)
+			delete(s.active, id)
 		}
-		k.mu.Unlock()
-		k.poke()
+		s.mu.Unlock()
+		s.wakeUp()
 	})
 }
 
-func (k *Scheduler) retryStuck() {
-	k.mu.Lock()
-	stuck := k.stuck
-	k.stuck = nil
-	k.mu.Unlock()
-	for _, f := range stuck {
-		f()
+// retryFailedWrites retries the changes that the store failed to write.
+func (s *Scheduler) retryFailedWrites() {
+	s.mu.Lock()
+	failed := s.failedWrites
+	s.failedWrites = nil
+	s.mu.Unlock()
+	for _, write := range failed {
+		write()
 	}
 }
 
-// wait makes a change on the store and waits for it.
-func wait(change func(done func(error))) error {
+// writeAndWait makes a change to the store and waits until it is on disk or has failed.
+func writeAndWait(change func(done func(error))) error {
 	done := make(chan error, 1)
 	change(func(err error) { done <- err })
 	return <-done
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -206,7 +206,7 @@
 	}
 	var keeper *background.Scheduler
 	o.NewScheduler = func(f background.JobServer) *background.Scheduler {
-		keeper = background.New(background.Options{Store: store, Limits: g.Retry, Pace: g.Pace, Seed: d.Config.Settings.Seed,
+		keeper = background.New(background.Options{Store: store, RetryLimits: g.Retry, PacerLimits: g.Pace, Seed: d.Config.Settings.Seed,
 			Clock: clock, WallClock: d.Now, Log: log}, f)
 		return keeper
 	}
--- a/internal/gearman/answer.go
+++ b/internal/gearman/answer.go
@@ -7,85 +7,86 @@
 	"tinroute.example/tinroute/dispatch"
 )
 
-// submission is the job's side of one of its requests.
+// submission is the dispatch.Client of one request of a job.
 type submission struct {
 	*job
 	request *dispatch.Request
 }
 
-// Answer gives the one final answer to all who wait. A background job that was not served goes
-// on without them, as recovery decides.
-func (t *submission) Answer(a dispatch.Answer) {
-	s, j := t.server, t.job
+// Answer sends the final answer of the request to every waiting client. A background job that
+// was not served stays open without waiters; package recovery decides whether it is retried.
+func (sub *submission) Answer(answer dispatch.Answer) {
+	s, j := sub.server, sub.job
 	s.mu.Lock()
-	if j.request != t.request { // it was given up
+	if j.request != sub.request { // the request was cancelled in the meantime
 		s.mu.Unlock()
 		return
 	}
 	j.request = nil
 	var once sync.Once
-	d := delivery{final: true, told: func(whole bool) { once.Do(func() { s.core.AnswerWritten(t.request, whole) }) }}
-	d.plain, d.full = j.answer(a)
+	update := jobUpdate{final: true, onWritten: func(whole bool) { once.Do(func() { s.core.AnswerWritten(sub.request, whole) }) }}
+	update.basic, update.withExceptions = j.encodeAnswer(answer)
 	background := j.entry.Background
-	if background && a.Verdict != dispatch.Served {
-		d.to = s.book.DetachWaiters(j.entry)
-		s.book.SetQueued(j.entry)
-		s.rest(j)
+	if background && answer.Verdict != dispatch.Served {
+		update.recipients = s.index.DetachWaiters(j.entry)
+		s.index.SetQueued(j.entry)
+		s.closeIfIdle(j)
 	} else {
-		d.to = s.book.Close(j.entry)
+		update.recipients = s.index.Close(j.entry)
 	}
-	if len(d.to) == 0 { // no one is written to, and observers wait for no one
-		d.told(true)
+	if len(update.recipients) == 0 { // nothing will be written, so the core's observers need not wait for a write
+		update.onWritten(true)
 	}
-	s.deliver(d)
+	s.deliver(update)
 	s.mu.Unlock()
 	if background {
-		s.keeper.OfferEnded(j.number(), ends(a), a.RetryAfter)
+		s.scheduler.OfferEnded(j.currentStoreID(), offerOutcome(answer), answer.RetryAfter)
 	}
 }
 
-// answer words a final answer, without and with the option exceptions. A client with it is told
-// the reason by WORK_EXCEPTION, and by WORK_FAIL that this was all, as gearmand does.
-func (j *job) answer(a dispatch.Answer) (plain, full []byte) {
-	if a.Verdict == dispatch.Served {
-		err := eachPart(a.Result, func(t Type, data []byte) { plain = append(plain, Response(t, j.handle, string(data))...) })
+// encodeAnswer encodes a final answer for clients without and with the "exceptions" option. A
+// client with the option gets the reason as WORK_EXCEPTION, followed by WORK_FAIL as the end of the
+// job, as gearmand does.
+func (j *job) encodeAnswer(answer dispatch.Answer) (basic, withExceptions []byte) {
+	if answer.Verdict == dispatch.Served {
+		err := eachResultPart(answer.Result, func(t Type, data []byte) { basic = append(basic, Response(t, j.handle, string(data))...) })
 		if err == nil {
-			return plain, plain
+			return basic, basic
 		}
-		j.server.log.Error("result cut short", "handle", j.handle, "err", err)
+		j.server.log.Error("truncated job result; answering WORK_FAIL", "handle", j.handle, "err", err)
 	}
-	plain = Response(WorkFail, j.handle)
+	basic = Response(WorkFail, j.handle)
 	reason := ""
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	switch {
-	case a.Verdict == dispatch.Refused:
-		if reason = "refused: " + a.Reason; a.RetryAfter > 0 {
-			reason += fmt.Sprintf("; retry after %.3f s", a.RetryAfter.Seconds())
+	case answer.Verdict == dispatch.Refused:
+		if reason = "refused: " + answer.Reason; answer.RetryAfter > 0 {
+			reason += fmt.Sprintf("; retry after %.3f s", answer.RetryAfter.Seconds())
 		}
 	case j.exception != nil:
 		reason = string(j.exception)
 	default:
-		return plain, plain
+		return basic, basic
 	}
-	return plain, append(Response(WorkException, j.handle, reason), plain...)
+	return basic, append(Response(WorkException, j.handle, reason), basic...)
 }
 
-// Progress passes a worker's progress on.
-func (t *submission) Progress(share float64) {
-	s := t.server
+// Progress forwards a worker's progress to the waiting clients as WORK_STATUS.
+func (sub *submission) Progress(share float64) {
+	s := sub.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.job.request != t.request || !s.book.SetProgress(t.entry, share) {
+	if sub.job.request != sub.request || !s.index.SetProgress(sub.entry, share) {
 		return
 	}
-	d := delivery{to: map[*client]int{}}
-	d.plain = Response(WorkStatus, t.handle, percent(share), "100")
-	d.full = d.plain
-	t.entry.EachWaiter(func(c *client) {
-		if len(c.out) < cap(c.out)/4 { // none that the client is too slow to read
-			d.to[c]++
+	update := jobUpdate{recipients: map[*client]int{}}
+	update.basic = Response(WorkStatus, sub.handle, percent(share), "100")
+	update.withExceptions = update.basic
+	sub.entry.EachWaiter(func(c *client) {
+		if len(c.outbox) < cap(c.outbox)/4 { // skip a client that reads too slowly: its outbox is a quarter full
+			update.recipients[c]++
 		}
 	})
-	s.deliver(d)
+	s.deliver(update)
 }
--- a/internal/gearman/background.go
+++ b/internal/gearman/background.go
@@ -7,41 +7,41 @@
 	"tinroute.example/tinroute/internal/jobstore"
 )
 
-// submitBackground takes a job that no one waits for. JOB_CREATED is written once it is on disk.
+// submitBackground accepts a background job. JOB_CREATED is sent once the job is on disk.
 func (c *client) submitBackground(j *job, due time.Time) {
 	reply := func(handle string) func(error) {
 		return func(err error) {
 			if err != nil {
-				c.turnAway(code(err), err)
+				c.rejectJob(rejectionCode(err), err)
 			} else {
 				c.send(Response(JobCreated, handle))
 			}
 			c.AddInFlight(-1)
 		}
 	}
-	c.AddInFlight(1) // a drain leaves the connection open until this is answered
-	if o := c.stored(j); o != nil {
-		reply(o.Job.Handle)(nil)
+	c.AddInFlight(1) // a drain keeps the connection open until the submission is answered
+	if stored := c.findStored(j); stored != nil {
+		reply(stored.Job.Handle)(nil)
 		return
 	}
 	c.mu.Lock()
-	if e := c.book.ByKey(j.function, j.unique); e != nil {
-		o := e.Payload.(*job)
+	if entry := c.index.ByKey(j.function, j.unique); entry != nil {
+		existing := entry.Payload.(*job)
 		switch {
-		case o.put != nil: // on its way to the disk: they share its fate
-			o.put = append(o.put, reply(e.Handle))
+		case existing.storeCallbacks != nil: // still being written: this submission gets the result of that write
+			existing.storeCallbacks = append(existing.storeCallbacks, reply(entry.Handle))
 			c.mu.Unlock()
-		case e.Background:
+		case entry.Background:
 			c.mu.Unlock()
-			reply(e.Handle)(nil)
-		default: // a client waits for it; from now on it goes on without one
-			c.store(o, due, reply(e.Handle))
+			reply(entry.Handle)(nil)
+		default: // an open foreground job: store it, so that it continues without its client
+			c.storeJob(existing, due, reply(entry.Handle))
 		}
 		return
 	}
-	err := c.book.CheckOpen(j.function, len(j.data), c.waiting(j.function))
+	err := c.index.CheckOpen(j.function, len(j.data), c.storedCount(j.function))
 	if err == nil {
-		err = c.keeper.Admit(len(j.data))
+		err = c.scheduler.Admit(len(j.data))
 	}
 	if err != nil {
 		c.mu.Unlock()
@@ -49,54 +49,54 @@
 		return
 	}
 	j.handle = c.newHandle()
-	j.entry = c.book.Open(j.handle, j.function, j.unique, len(j.data), false)
+	j.entry = c.index.Open(j.handle, j.function, j.unique, len(j.data), false)
 	j.entry.Payload = j
-	c.store(j, due, reply(j.handle))
+	c.storeJob(j, due, reply(j.handle))
 }
 
-// store puts a job on disk. It is called with s.mu held and gives it up: the store's queue may
-// have to be waited for.
-func (s *Server) store(j *job, due time.Time, reply func(error)) {
-	s.book.SetBackground(j.entry, true)
-	j.put = []func(error){reply}
+// storeJob writes a job to the job store. It must be called with s.mu held and unlocks it, since
+// it may block on the store's queue.
+func (s *Server) storeJob(j *job, due time.Time, reply func(error)) {
+	s.index.SetBackground(j.entry, true)
+	j.storeCallbacks = []func(error){reply}
 	offered := j.request != nil
-	id := s.keeper.NextID()
-	st := j.state(id)
+	id := s.scheduler.NextID()
+	state := j.storeState(id)
 	s.mu.Unlock()
-	now := s.keeper.Now()
-	rec := &jobstore.Job{ID: id, Handle: j.handle, Function: j.function, Unique: j.unique, Data: []byte(j.data), Accepted: now}
-	if st.Due = now; !due.IsZero() && !offered {
-		rec.Timed, st.Timed, st.Due = true, true, time.Duration(due.UnixNano())
+	now := s.scheduler.Now()
+	record := &jobstore.Job{ID: id, Handle: j.handle, Function: j.function, Unique: j.unique, Data: []byte(j.data), Accepted: now}
+	if state.Due = now; !due.IsZero() && !offered {
+		record.Timed, state.Timed, state.Due = true, true, time.Duration(due.UnixNano())
 	}
-	s.keeper.Accept(rec, st, offered, func(err error) { s.put(j, err) })
+	s.scheduler.Accept(record, state, offered, func(err error) { s.jobStored(j, err) })
 }
 
-// put takes word that a job is on disk, or could not be brought there.
-func (s *Server) put(j *job, err error) {
+// jobStored handles the result of writing a job to the store.
+func (s *Server) jobStored(j *job, err error) {
 	s.mu.Lock()
-	replies := j.put
-	j.put = nil
+	replies := j.storeCallbacks
+	j.storeCallbacks = nil
 	var request *dispatch.Request
 	switch {
 	case err == nil:
-	case j.entry.WaitingSubmissions == 0: // no one but the submitters knew of it
-		s.book.Close(j.entry)
+	case j.entry.WaitingSubmissions == 0: // only the submitters know of it: drop it
+		s.index.Close(j.entry)
 		request, j.request = j.request, nil
-	default: // clients wait for it: it is theirs alone again
-		s.book.SetBackground(j.entry, false)
+	default: // clients wait for it: it becomes a foreground job again
+		s.index.SetBackground(j.entry, false)
 		j.mu.Lock()
-		j.id = 0
+		j.storeID = 0
 		j.mu.Unlock()
 	}
 	resubmit := err != nil && j.entry.WaitingSubmissions > 0 && j.request == nil
 	if resubmit {
-		request = s.request(j, s.file.Functions[j.function])
+		request = s.newRequest(j, s.config.Functions[j.function])
 	}
-	promote := err == nil && j.entry.WaitingSubmissions > 0 && j.unoffered()
-	s.rest(j)
+	promote := err == nil && j.entry.WaitingSubmissions > 0 && j.awaitsOffer()
+	s.closeIfIdle(j)
 	s.mu.Unlock()
-	for _, r := range replies {
-		r(err)
+	for _, reply := range replies {
+		reply(err)
 	}
 	switch {
 	case resubmit:
@@ -108,10 +108,10 @@
 	}
 }
 
-// rest closes the book on a stored job that nobody waits for until it is offered: a million of
-// them must not be held in memory. s.mu is held.
-func (s *Server) rest(j *job) {
-	if j.entry.Background && j.request == nil && j.put == nil && j.entry.WaitingSubmissions == 0 {
-		s.book.Close(j.entry)
+// closeIfIdle removes a stored job from the index while no client waits for it and it is not
+// offered, so that a million stored jobs are not held in memory. s.mu must be held.
+func (s *Server) closeIfIdle(j *job) {
+	if j.entry.Background && j.request == nil && j.storeCallbacks == nil && j.entry.WaitingSubmissions == 0 {
+		s.index.Close(j.entry)
 	}
 }
--- a/internal/gearman/job.go
+++ b/internal/gearman/job.go
@@ -13,98 +13,100 @@
 	"tinroute.example/tinroute/internal/jobstore"
 )
 
-// job is one job, and the payload of its requests: a background job may be offered as
-// several, one after another.
+// job is one job and the payload of its dispatcher requests. A background job may be submitted
+// to the dispatcher several times, one request after another.
 type job struct {
 	server                         *Server
 	handle, function, unique, data string
-	entry                          *jobindex.Job[*client] // guarded by Server.mu, as are request, offers and put
-	request                        *dispatch.Request      // out, or nil
-	offers                         int
-	put                            []func(error) // submitters that wait until it is on disk; nil once it is
+	entry                          *jobindex.Job[*client] // guarded by Server.mu, as are request, offers and storeCallbacks
+	request                        *dispatch.Request      // the open request, or nil
+	offers                         int                    // requests made so far
+	storeCallbacks                 []func(error)          // called after the pending write to the job store; nil if none is pending
 
 	mu        sync.Mutex
-	id        uint64 // the store's number, 0 where it is not stored
+	storeID   uint64 // ID in the job store, 0 if the job is not stored
 	sends     int
-	first     *jobstore.Send // the earliest that may have run
-	last      *jobstore.Send
-	began     time.Time // this request
-	left      bool      // ... and whether it has been sent
-	exception []byte    // a worker's word on why it failed
+	firstSend *jobstore.Send // the earliest send that may have run, or nil
+	lastSend  *jobstore.Send
+	startedAt time.Time // when the current request started
+	sent      bool      // the current request has been sent to a worker
+	exception []byte    // data of a worker's WORK_EXCEPTION, or nil
 }
 
-// sending is told of an attempt before it leaves; after an error it must not. A stored job's
-// is written down first.
-func (j *job) sending(ctx context.Context, t *dispatch.Attempt) error {
+// recordSend records an attempt before it is sent; after an error it must not be sent. The record
+// of a stored job is on disk when recordSend returns.
+func (j *job) recordSend(ctx context.Context, attempt *dispatch.Attempt) error {
 	j.mu.Lock()
-	id := j.id
-	s := jobstore.Send{Region: t.Worker.Name, Worker: t.Worker.ID, Zone: t.Worker.Zone, Cell: t.Worker.Cell}
-	if k := j.server.keeper; k != nil {
-		s.At = k.Now()
+	id := j.storeID
+	send := jobstore.Send{Region: attempt.Worker.Name, Worker: attempt.Worker.ID,
+		Zone: attempt.Worker.Zone, Cell: attempt.Worker.Cell}
+	if scheduler := j.server.scheduler; scheduler != nil {
+		send.At = scheduler.Now()
 	}
 	j.sends++
-	s.Attempt = j.sends
-	if j.first == nil {
-		j.first = &s
+	send.Attempt = j.sends
+	if j.firstSend == nil {
+		j.firstSend = &send
 	}
-	j.last = &s
+	j.lastSend = &send
 	j.mu.Unlock()
 	if id == 0 {
 		return nil
 	}
-	return j.server.keeper.RecordSend(ctx, id, s)
+	return j.server.scheduler.RecordSend(ctx, id, send)
 }
 
-// ended is told of an attempt's outcome.
-func (j *job) ended(status balance.Status) {
+// attemptEnded takes the outcome of an attempt. If the attempt provably did not run, its record is
+// retracted.
+func (j *job) attemptEnded(status balance.Status) {
 	if !status.NeverRan() {
 		return
 	}
 	j.mu.Lock()
-	id := j.id
-	if j.first != nil && j.first.Attempt == j.last.Attempt {
-		j.first = nil
+	id := j.storeID
+	if j.firstSend != nil && j.firstSend.Attempt == j.lastSend.Attempt {
+		j.firstSend = nil
 	}
 	j.mu.Unlock()
 	if id != 0 {
-		j.server.keeper.RetractSend(id)
+		j.server.scheduler.RetractSend(id)
 	}
 }
 
-// state is what to store of a job that has been submitted already.
-func (j *job) state(id uint64) *jobstore.State {
+// storeState sets the job's store ID and returns the state to store, with the sends made so far.
+func (j *job) storeState(id uint64) *jobstore.State {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.id = id
-	return &jobstore.State{Sends: j.sends, First: j.first, Last: j.last}
+	j.storeID = id
+	return &jobstore.State{Sends: j.sends, First: j.firstSend, Last: j.lastSend}
 }
 
-func (j *job) number() uint64 {
+func (j *job) currentStoreID() uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.id
+	return j.storeID
 }
 
-// What a worker gives for a job is packets: WORK_DATA and WORK_WARNING, and WORK_COMPLETE at
-// the end. The core hands their bytes on as a result, each as its type, its length and its data.
-
-func appendPart(b []byte, t Type, data []byte) []byte {
+// appendResultPart appends one packet of a worker's result: WORK_DATA, WORK_WARNING or the final
+// WORK_COMPLETE. The core passes the result on as opaque bytes, in which each packet is encoded
+// as its type, its length and its data.
+func appendResultPart(b []byte, t Type, data []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(t))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(data)))
 	return append(b, data...)
 }
 
-var errPart = errors.New("a result's part is cut short")
+var errTruncatedResult = errors.New("result part is truncated")
 
-// eachPart calls f for every part of a result.
-func eachPart(b []byte, f func(t Type, data []byte)) error {
+// eachResultPart calls f for every packet of a result that appendResultPart encoded.
+func eachResultPart(b []byte, f func(t Type, data []byte)) error {
 	for len(b) > 0 {
 		if len(b) < 8 {
-			return errPart
+			return errTruncatedResult
 		}
 		t, n := Type(binary.BigEndian.Uint32(b)), binary.BigEndian.Uint32(b[4:])
 		if uint64(n) > uint64(len(b)-8) {
-			return errPart
+			return errTruncatedResult
 		}
 		f(t, b[8:8+n])
 		b = b[8+n:]
@@ -112,37 +114,37 @@
 	return nil
 }
 
-// NewSendObserver returns the observer that a Server's core needs for background jobs: it tells the
-// server when its requests are sent.
-func NewSendObserver() dispatch.Observer { return watch{} }
+// NewSendObserver returns the observer that the core of a Server needs for background jobs. It
+// reports how long foreground jobs wait before they are sent.
+func NewSendObserver() dispatch.Observer { return sendObserver{} }
 
-type watch struct{}
+type sendObserver struct{}
 
-func (watch) RequestStarted(request *dispatch.Request) {
+func (sendObserver) RequestStarted(request *dispatch.Request) {
 	if j, ok := request.Payload.(*job); ok {
 		j.mu.Lock()
-		j.began, j.left = time.Now(), false
+		j.startedAt, j.sent = time.Now(), false
 		j.mu.Unlock()
 	}
 }
 
-// AttemptSent tells how long a foreground job has waited for room, on which the pace of background
-// jobs hangs.
-func (watch) AttemptSent(t *dispatch.Attempt) {
-	j, ok := t.Request.Payload.(*job)
-	if !ok || j.server.keeper == nil {
+// AttemptSent reports how long a foreground job waited for capacity. The scheduler offers fewer
+// background jobs when foreground jobs wait too long.
+func (sendObserver) AttemptSent(attempt *dispatch.Attempt) {
+	j, ok := attempt.Request.Payload.(*job)
+	if !ok || j.server.scheduler == nil {
 		return
 	}
 	j.mu.Lock()
-	first, stored, waited := !j.left, j.id != 0, time.Since(j.began)
-	j.left = true
+	first, background, waited := !j.sent, j.storeID != 0, time.Since(j.startedAt)
+	j.sent = true
 	j.mu.Unlock()
-	if first && !stored {
-		j.server.keeper.ForegroundWaited(waited)
+	if first && !background {
+		j.server.scheduler.ForegroundWaited(waited)
 	}
 }
 
-func (watch) AttemptCancelled(*dispatch.Attempt)                            {}
-func (watch) AttemptEnded(*dispatch.Attempt, balance.Status, time.Duration) {}
-func (watch) RequestAnswered(*dispatch.Request, dispatch.Answer)            {}
-func (watch) RequestCancelled(*dispatch.Request)                            {}
+func (sendObserver) AttemptCancelled(*dispatch.Attempt)                            {}
+func (sendObserver) AttemptEnded(*dispatch.Attempt, balance.Status, time.Duration) {}
+func (sendObserver) RequestAnswered(*dispatch.Request, dispatch.Answer)            {}
+func (sendObserver) RequestCancelled(*dispatch.Request)                            {}
--- a/internal/gearman/packet.go
+++ b/internal/gearman/packet.go
@@ -1,5 +1,6 @@
-// Package gearman is the second front: to client connections it is a Gearman job server, to the
-// workers of its discovery it is a Gearman client. Every decision is the core's.
+// Package gearman implements the Gearman protocol. Towards client connections it is a job server,
+// towards the workers of its discovery it is a Gearman client. The dispatcher core decides which
+// worker gets each job.
 package gearman
 
 import (
@@ -12,11 +13,12 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// Type is a packet's type, by its number in the protocol.
+// Type is the packet type number of the Gearman protocol.
 type Type uint32
 
-// The packets that this front knows, by the protocol page of gearman.org. What is missing belongs
-// to workers, which never speak to a dispatcher: it is their client.
+// The supported packet types, as listed on the protocol page of gearman.org. Those that only
+// Gearman workers send or receive are left out: a dispatcher connects to job servers as a client,
+// so workers never connect to it.
 const (
 	SubmitJob       Type = 7
 	JobCreated      Type = 8
@@ -46,31 +48,33 @@
 	StatusResUnique Type = 42
 )
 
-// maxBody bounds what a packet carries, as the platform bounds a body.
-const maxBody = 64 << 10
+// maxBodyBytes is the largest accepted packet body. The platform has the same limit for request
+// bodies.
+const maxBodyBytes = 64 << 10
 
-const headLen = 12
+const headerBytes = 12
 
-// maxLine bounds a line of the text protocol: a command, a function's name and a number.
-const maxLine = 1 << 10
+// maxLineBytes is the longest accepted line of the text protocol, which holds at most a command, a
+// function name and a number.
+const maxLineBytes = 1 << 10
 
 var (
 	magicRequest  = [4]byte{0, 'R', 'E', 'Q'}
 	magicResponse = [4]byte{0, 'R', 'E', 'S'}
 
-	errMagic = errors.New("bad magic")
-	errSize  = errors.New("packet over 64 KiB")
-	errLine  = errors.New("line over 1 KiB")
+	errBadMagic       = errors.New("bad magic")
+	errPacketTooLarge = errors.New("packet over 64 KiB")
+	errLineTooLong    = errors.New("line over 1 KiB")
 )
 
-// Packet is one whole packet.
+// Packet is one complete binary packet or one line of the text protocol.
 type Packet struct {
 	Type Type
 	Body []byte
-	Text bool // it is a line of the text protocol, without its end
+	Text bool // Body is a line of the text protocol, without its line ending
 }
 
-// Args splits the body into so many arguments; the last may hold any bytes.
+// Args splits the body into n arguments separated by NUL bytes. The last may itself hold NUL bytes.
 func (p *Packet) Args(n int) ([][]byte, error) {
 	args := bytes.SplitN(p.Body, []byte{0}, n)
 	if len(args) != n {
@@ -79,67 +83,68 @@
 	return args, nil
 }
 
-// Framer cuts a stream of bytes into whole packets. It is fed bytes and knows no socket.
+// Framer splits a byte stream into packets. It does no I/O.
 type Framer struct {
-	magic [4]byte
-	buf   []byte
-	ask   bool // the first byte tells which protocol is spoken: a packet begins with NUL
-	text  bool
+	magic  [4]byte
+	buf    []byte
+	detect bool // detect the protocol by the first byte, which is NUL in a binary packet
+	text   bool
 }
 
-// NewServerFramer frames what comes to a job server's port: packets of clients, or lines of the
-// text protocol if the first byte is not NUL. A connection speaks one of them for good.
-func NewServerFramer() link.Framer[Packet] { return &Framer{magic: magicRequest, ask: true} }
+// NewServerFramer returns a framer for connections to the job server's port. They carry binary
+// packets, or lines of the text protocol if the first byte is not NUL; a connection never
+// switches between the two.
+func NewServerFramer() link.Framer[Packet] { return &Framer{magic: magicRequest, detect: true} }
 
-// NewRequestFramer frames what a client sends to a job server.
+// NewRequestFramer returns a framer for packets from a client to a job server.
 func NewRequestFramer() link.Framer[Packet] { return &Framer{magic: magicRequest} }
 
-// NewResponseFramer frames what a job server sends to a client.
+// NewResponseFramer returns a framer for packets from a job server to a client.
 func NewResponseFramer() link.Framer[Packet] { return &Framer{magic: magicResponse} }
 
-// Feed adds bytes as they were read.
+// Feed appends bytes read from the stream.
 func (f *Framer) Feed(p []byte) { f.buf = append(f.buf, p...) }
 
-// Partial tells whether part of a packet has come.
+// Partial reports whether bytes of an unfinished packet are buffered.
 func (f *Framer) Partial() bool { return len(f.buf) > 0 }
 
-// Next returns the next whole packet, or nil while there is none. Bad magic shows by the
-// first wrong byte, before a length is believed.
+// Next returns the next complete packet, or nil if more bytes are needed. Bad magic is reported
+// at the first wrong byte, before the length field is used.
 func (f *Framer) Next() (*Packet, error) {
-	if f.ask && len(f.buf) > 0 {
-		f.ask, f.text = false, f.buf[0] != 0
+	if f.detect && len(f.buf) > 0 {
+		f.detect, f.text = false, f.buf[0] != 0
 	}
 	if f.text {
-		return f.line()
+		return f.nextLine()
 	}
 	if n := min(len(f.buf), len(f.magic)); !bytes.Equal(f.buf[:n], f.magic[:n]) {
-		return nil, errMagic
+		return nil, errBadMagic
 	}
-	if len(f.buf) < headLen {
+	if len(f.buf) < headerBytes {
 		return nil, nil
 	}
 	size := binary.BigEndian.Uint32(f.buf[8:])
-	if size > maxBody {
-		return nil, errSize
+	if size > maxBodyBytes {
+		return nil, errPacketTooLarge
 	}
-	whole := headLen + int(size)
-	if len(f.buf) < whole {
+	end := headerBytes + int(size)
+	if len(f.buf) < end {
 		return nil, nil
 	}
-	p := &Packet{Type: Type(binary.BigEndian.Uint32(f.buf[4:])), Body: bytes.Clone(f.buf[headLen:whole])}
-	if rest := f.buf[whole:]; len(rest) == 0 {
-		f.buf = nil // one large packet must not hold its memory as long as the connection
+	p := &Packet{Type: Type(binary.BigEndian.Uint32(f.buf[4:])), Body: bytes.Clone(f.buf[headerBytes:end])}
+	if rest := f.buf[end:]; len(rest) == 0 {
+		f.buf = nil // release the buffer, or one large packet would hold memory as long as the connection lives
 	} else {
 		f.buf = f.buf[:copy(f.buf, rest)]
 	}
 	return p, nil
 }
 
-// line returns the next whole line of the text protocol. Its end is LF or CR LF.
-func (f *Framer) line() (*Packet, error) {
+// nextLine returns the next complete line of the text protocol, ended by LF or CR LF.
+func (f *Framer) nextLine() (*Packet, error) {
 	i := bytes.IndexByte(f.buf, '\n')
-	if i > maxLine || i < 0 && len(f.buf) > maxLine {
-		return nil, errLine
+	if i > maxLineBytes || i < 0 && len(f.buf) > maxLineBytes {
+		return nil, errLineTooLong
 	}
 	if i < 0 {
 		return nil, nil
@@ -149,7 +154,7 @@
 	return p, nil
 }
 
-// End tells that the stream has ended.
+// End handles the end of the stream. It returns io.ErrUnexpectedEOF within a packet.
 func (f *Framer) End() (*Packet, error) {
 	if f.Partial() {
 		return nil, io.ErrUnexpectedEOF
@@ -157,10 +162,10 @@
 	return nil, nil
 }
 
-// Request writes a packet as a client does.
+// Request encodes a packet from a client to a job server.
 func Request(t Type, args ...string) []byte { return encode(magicRequest, t, args) }
 
-// Response writes a packet as a job server does.
+// Response encodes a packet from a job server to a client.
 func Response(t Type, args ...string) []byte { return encode(magicResponse, t, args) }
 
 func encode(magic [4]byte, t Type, args []string) []byte {
@@ -168,7 +173,7 @@
 	for _, a := range args {
 		size += len(a)
 	}
-	b := make([]byte, 0, headLen+size)
+	b := make([]byte, 0, headerBytes+size)
 	b = append(b, magic[:]...)
 	b = binary.BigEndian.AppendUint32(b, uint32(t))
 	b = binary.BigEndian.AppendUint32(b, uint32(size))
--- a/internal/gearman/promote.go
+++ b/internal/gearman/promote.go
@@ -4,42 +4,45 @@
 	"time"
 )
 
-// unoffered tells whether a stored job is on disk and not with the core. s.mu is held.
-func (j *job) unoffered() bool { return j.entry.Background && j.request == nil && j.put == nil }
+// awaitsOffer reports whether a job is on disk and not submitted to the core. s.mu must be held.
+func (j *job) awaitsOffer() bool {
+	return j.entry.Background && j.request == nil && j.storeCallbacks == nil
+}
 
-// promote has a stored job offered next, since a client waits for it. It may not be due by its own
-// client's word, or be just being written down: whoever waits for it gets an answer within the
-// function's deadline all the same, and at once if nothing is offered any more.
+// promote asks the scheduler to offer a stored job next, since a client now waits for it. If the
+// job cannot be offered yet, because its scheduled time has not come or its state is still being
+// written, its waiters get WORK_FAIL after the function's deadline; while the server drains they
+// get it at once.
 func (s *Server) promote(j *job) {
-	late := func(reason string) {
+	failIfUnoffered := func(reason string) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if j.unoffered() && s.book.ByHandle(j.handle) == j.entry {
-			s.fail(j, reason)
-			s.rest(j)
+		if j.awaitsOffer() && s.index.ByHandle(j.handle) == j.entry {
+			s.failWaiters(j, reason)
+			s.closeIfIdle(j)
 		}
 	}
 	s.mu.Lock()
 	draining := s.draining
 	s.mu.Unlock()
 	if draining {
-		late(ending)
+		failIfUnoffered(reasonDraining)
 		return
 	}
-	s.keeper.Promote(j.number(), j.handle)
-	time.AfterFunc(s.file.Functions[j.function].Deadline, func() { late("its time has not come") })
+	s.scheduler.Promote(j.currentStoreID(), j.handle)
+	time.AfterFunc(s.config.Functions[j.function].Deadline, func() { failIfUnoffered("its time has not come") })
 }
 
-// ending is what those are told who wait for a stored job when the process ends.
-const ending = "the dispatcher is ending; the job stays stored"
+// reasonDraining is the reason sent to clients that wait for a stored job when the process ends.
+const reasonDraining = "the dispatcher is ending; the job stays stored"
 
-// failUnoffered tells those who wait for stored jobs that are not with the core that they wait in vain. s.mu
-// is held.
-func (s *Server) failUnoffered() {
-	for _, e := range s.book.Jobs(-1) {
-		if j := e.Payload.(*job); j.unoffered() {
-			s.fail(j, ending)
-			s.rest(j)
+// failAwaitingOffer sends a failure to all clients that wait for stored jobs which are not
+// submitted to the core. s.mu must be held.
+func (s *Server) failAwaitingOffer() {
+	for _, entry := range s.index.Jobs(-1) {
+		if j := entry.Payload.(*job); j.awaitsOffer() {
+			s.failWaiters(j, reasonDraining)
+			s.closeIfIdle(j)
 		}
 	}
 }
--- a/internal/gearman/schedule.go
+++ b/internal/gearman/schedule.go
@@ -8,56 +8,56 @@
 	"github.com/robfig/cron/v3"
 )
 
-// latest bounds how far ahead a timed job may lie.
-const latest = 366 * 24 * time.Hour
+// maxScheduleAhead is how far in the future a job may be scheduled.
+const maxScheduleAhead = 366 * 24 * time.Hour
 
-// atEpoch reads the instant of a SUBMIT_JOB_EPOCH, seconds of Unix time. One that has passed
-// is due at once.
-func atEpoch(text string, now time.Time) (time.Time, error) {
-	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n < 0 {
-		return time.Time{}, fmt.Errorf("epoch %.20q is not a time", text)
+// parseEpoch parses the time of a SUBMIT_JOB_EPOCH, in seconds of Unix time. A time in the past is
+// valid; the job is due at once.
+func parseEpoch(value string, now time.Time) (time.Time, error) {
+	seconds, err := strconv.ParseInt(value, 10, 64)
+	if err != nil || seconds < 0 {
+		return time.Time{}, fmt.Errorf("epoch %.20q is not a time", value)
 	}
-	at := time.Unix(n, 0)
-	if at.Sub(now) > latest || n > 1<<40 {
-		return time.Time{}, fmt.Errorf("epoch %.20q lies over a year ahead", text)
+	at := time.Unix(seconds, 0)
+	if at.Sub(now) > maxScheduleAhead || seconds > 1<<40 {
+		return time.Time{}, fmt.Errorf("epoch %.20q lies over a year ahead", value)
 	}
 	return at, nil
 }
 
-// The fields of a SUBMIT_JOB_SCHED, in their order, with their bounds. Its days of the week
-// begin with 0 for Monday, cron's with 0 for Sunday.
+// scheduleFields lists the fields of a SUBMIT_JOB_SCHED in their order, with their ranges. Day 0
+// of the week is Monday there, and Sunday in cron.
 var scheduleFields = [...]struct {
 	name        string
 	least, most int
 }{{"minute", 0, 59}, {"hour", 0, 23}, {"day of the month", 1, 31}, {"month", 1, 12}, {"day of the week", 0, 6}}
 
-// atSchedule returns the next instant that matches a SUBMIT_JOB_SCHED, in the location of now.
-// An empty field or a * matches any. It is one shot: the job runs once. As in cron, a day matches
-// by either of its fields where both are given.
-func atSchedule(fields []string, now time.Time) (time.Time, error) {
+// nextScheduled returns the next time that matches the fields of a SUBMIT_JOB_SCHED, in the
+// location of now. An empty field or a * matches any value. The job runs once, at that time. As in
+// cron, if both the day of the month and the day of the week are given, a day matches by either.
+func nextScheduled(fields []string, now time.Time) (time.Time, error) {
 	spec := ""
-	for i, text := range fields {
-		f := scheduleFields[i]
-		if text == "" || text == "*" {
+	for i, value := range fields {
+		field := scheduleFields[i]
+		if value == "" || value == "*" {
 			spec += "* "
 			continue
 		}
-		n, err := strconv.Atoi(text)
-		if err != nil || n < f.least || n > f.most {
-			return time.Time{}, fmt.Errorf("%s %.20q is not from %d to %d", f.name, text, f.least, f.most)
+		n, err := strconv.Atoi(value)
+		if err != nil || n < field.least || n > field.most {
+			return time.Time{}, fmt.Errorf("%s %.20q is not from %d to %d", field.name, value, field.least, field.most)
 		}
 		if i == len(scheduleFields)-1 {
 			n = (n + 1) % 7
 		}
 		spec += strconv.Itoa(n) + " "
 	}
-	s, err := cron.ParseStandard(spec[:len(spec)-1])
+	schedule, err := cron.ParseStandard(spec[:len(spec)-1])
 	if err != nil {
 		return time.Time{}, err
 	}
-	at := s.Next(now)
-	if at.IsZero() || at.Sub(now) > latest {
+	at := schedule.Next(now)
+	if at.IsZero() || at.Sub(now) > maxScheduleAhead {
 		return time.Time{}, fmt.Errorf("no such time within a year")
 	}
 	return at, nil
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -19,295 +19,304 @@
 )
 
 const (
-	// outbox holds a JOB_CREATED and a final answer for each of a connection's jobs, and some
-	// progress. A client that lets it fill up does not read, and is closed rather than waited
-	// for.
+	// outboxPerJob is the outbox capacity for each job of a connection: a JOB_CREATED, a final
+	// answer and some progress updates. A client whose outbox is full is not reading; its
+	// connection is closed, since waiting for it would block the server.
 	outboxPerJob = 4
-	// badMost is how many packets in a row may be turned away before the connection is closed:
-	// a tool that speaks another role's protocol repeats its packet as fast as it gets ERROR.
-	badMost = 16
-	// wide is how many waiters a job may have to be told from the goroutine that brings the
-	// news, which is the core's own; more are told from another.
-	wide = 64
+	// maxRejectedInARow is how many rejected packets in a row close the connection. A program that
+	// speaks the protocol of another role, such as a worker, repeats its packet as fast as it gets
+	// ERROR.
+	maxRejectedInARow = 16
+	// maxDirectRecipients is how many waiters of a job are notified on the calling goroutine, which
+	// is the core's own. More are notified from a separate goroutine.
+	maxDirectRecipients = 64
 )
 
-// The codes of ERROR packets.
+// Error codes of ERROR packets.
 const (
-	codeMalformed = "malformed"
-	codeUnknown   = "unknown_function"
-	codeUnserved  = "not_served"
-	codeBusy      = "too_many_jobs"
-	codeQueue     = "queue_full"
-	codeStore     = "store_unavailable"
-	codeKey       = "unique_id_missing"
+	codeMalformed        = "malformed"
+	codeUnknownFunction  = "unknown_function"
+	codeNotServed        = "not_served"
+	codeTooManyJobs      = "too_many_jobs"
+	codeQueueFull        = "queue_full"
+	codeStoreUnavailable = "store_unavailable"
+	codeUniqueMissing    = "unique_id_missing"
 )
 
-// Options of a Server beside its core.
+// Options configure a Server.
 type Options struct {
 	Log            *slog.Logger
 	Config         *config.Gearman
-	DispatcherName string // the dispatcher's, part of every handle
-	MaxConnections int    // connections at once
+	DispatcherName string // part of every job handle
+	MaxConnections int    // concurrent client connections
 	Workers        func() []dispatch.Worker
-	NewScheduler   func(background.JobServer) *background.Scheduler // nil where there is no job store
-	StoreErr       error                                            // why the job store that is configured could not be opened
-	Shutdown       func()                                           // ends the process in order, for the text protocol
+	NewScheduler   func(background.JobServer) *background.Scheduler // nil if there is no job store
+	StoreErr       error                                            // error that opening the configured job store returned
+	Shutdown       func()                                           // starts an orderly shutdown, for the shutdown command
 }
 
-// Server is the job server that Gearman clients meet.
+// Server is the Gearman job server for client connections.
 type Server struct {
-	o          Options
-	core       *dispatch.Core
-	log        *slog.Logger
-	file       *config.Gearman
-	server     link.Server
-	limitedLog *limitedlog.Logger
-	keeper     *background.Scheduler // nil where off
-	nextJob    atomic.Uint64
-	classes    map[string]*balance.Class // by function
+	opts          Options
+	core          *dispatch.Core
+	log           *slog.Logger
+	config        *config.Gearman
+	conns         link.Server
+	limitedLog    *limitedlog.Logger
+	scheduler     *background.Scheduler // nil if background jobs are disabled
+	lastJobNumber atomic.Uint64
+	classes       map[string]*balance.Class // by function name
 
-	mu       sync.Mutex
-	book     *jobindex.Index[*client]
-	dropped  map[string]bool // functions that take no new jobs
-	draining bool            // no stored job is offered any more
-	fan      []delivery      // what waits to be told to many
-	fanning  bool
+	mu               sync.Mutex
+	index            *jobindex.Index[*client]
+	droppedFunctions map[string]bool // functions that accept no new jobs
+	draining         bool            // no stored jobs are offered any more
+	updateQueue      []jobUpdate     // updates that are delivered by a separate goroutine
+	deliveringQueue  bool            // that goroutine is running
 }
 
-// NewServer returns a server for the core, which must have NewWatch among its observers.
-func NewServer(core *dispatch.Core, o Options) *Server {
-	s := &Server{o: o, core: core, log: o.Log, file: o.Config, limitedLog: limitedlog.New(o.Log, nil), dropped: map[string]bool{},
-		classes: map[string]*balance.Class{}, book: jobindex.New[*client](o.Config.Limits)}
-	for name, f := range o.Config.Functions {
-		s.classes[name] = &core.Settings().Classes[f.Class]
+// NewServer returns a server for the core, which must have a NewSendObserver among its observers.
+func NewServer(core *dispatch.Core, opts Options) *Server {
+	s := &Server{opts: opts, core: core, log: opts.Log, config: opts.Config,
+		limitedLog: limitedlog.New(opts.Log, nil), droppedFunctions: map[string]bool{},
+		classes: map[string]*balance.Class{}, index: jobindex.New[*client](opts.Config.Limits)}
+	for name, defaults := range opts.Config.Functions {
+		s.classes[name] = &core.Settings().Classes[defaults.Class]
 	}
-	if o.NewScheduler != nil {
-		s.keeper = o.NewScheduler(s)
+	if opts.NewScheduler != nil {
+		s.scheduler = opts.NewScheduler(s)
 	}
-	s.server = link.Server{Log: o.Log, MaxConns: o.MaxConnections, Handle: s.handle}
+	s.conns = link.Server{Log: opts.Log, MaxConns: opts.MaxConnections, Handle: s.handleConn}
 	return s
 }
 
 // Serve accepts connections until the listener is closed.
-func (s *Server) Serve(l net.Listener) error { return s.server.Serve(l) }
+func (s *Server) Serve(l net.Listener) error { return s.conns.Serve(l) }
 
-// Drain goes on taking what comes, for as long as g says while there are clients, and returns
-// when every job that was sent is answered. Background jobs that were not stay stored.
-func (s *Server) Drain(ctx context.Context, g link.DrainSchedule) {
-	if s.keeper != nil {
+// Drain shuts the server down. It keeps serving new requests for as long as the schedule allows
+// while clients are connected, and returns once every job that was sent is answered. Background
+// jobs that were not sent stay in the job store.
+func (s *Server) Drain(ctx context.Context, schedule link.DrainSchedule) {
+	if s.scheduler != nil {
 		s.mu.Lock()
 		s.draining = true
-		s.failUnoffered()
+		s.failAwaitingOffer()
 		s.mu.Unlock()
-		s.keeper.Drain()
+		s.scheduler.Drain()
 	}
-	s.core.Drain(g.FullDeadlineFor, g.AnswerWithin)
-	s.server.Drain(ctx, s.core.Open, g.KeepClientsFor)
+	s.core.Drain(schedule.FullDeadlineFor, schedule.AnswerWithin)
+	s.conns.Drain(ctx, s.core.Open, schedule.KeepClientsFor)
 }
 
-// outgoing is something that waits to be written.
-type outgoing struct {
-	data  []byte
-	final bool // a job's final answer: the job keeps the connection busy until this is written
-	told  func(whole bool)
+// outboxItem is an encoded message that waits to be written to a client.
+type outboxItem struct {
+	data      []byte
+	final     bool             // a job's final answer; the job counts as in flight on the connection until it is written
+	onWritten func(whole bool) // called after the write, if set; whole tells whether it succeeded
 }
 
-// client is one connection from a client, with any number of jobs up to the bound.
+// client is one client connection, with any number of jobs up to the limit.
 type client struct {
 	*link.ServerConn
 	*Server
-	out        chan outgoing
-	done       chan struct{}
-	exceptions bool          // guarded by Server.mu, as are owed and gone
-	owed       int           // submissions whose final answer is not in the outbox
-	gone       bool          // nothing is written any more
-	settled    chan struct{} // owed has come to 0
-	bad        int           // packets turned away in a row; the reader's own
-	text       bool
+	outbox          chan outboxItem
+	done            chan struct{}
+	wantsExceptions bool          // option "exceptions" is set; guarded by Server.mu, as are unanswered and disconnected
+	unanswered      int           // submissions whose final answer is not in the outbox yet
+	disconnected    bool          // nothing more is written to it
+	allAnswered     chan struct{} // signals that unanswered reached 0
+	rejectedInARow  int           // rejected packets in a row; used by the reading goroutine only
+	textProtocol    bool          // the client speaks the text protocol
 }
 
-func (s *Server) handle(p *link.ServerConn) {
-	c := &client{ServerConn: p, Server: s, done: make(chan struct{}), settled: make(chan struct{}, 1),
-		out: make(chan outgoing, outboxPerJob*max(16, s.file.Limits.PerClient))}
+func (s *Server) handleConn(conn *link.ServerConn) {
+	c := &client{ServerConn: conn, Server: s, done: make(chan struct{}), allAnswered: make(chan struct{}, 1),
+		outbox: make(chan outboxItem, outboxPerJob*max(16, s.config.Limits.PerClient))}
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		c.write()
+		c.writeLoop()
 	}()
-	last := false // it is told why, and then closed
+	closeAfter := false // after sending the error
 	err := link.ReadMessages(c.ServerConn, NewServerFramer(), func(p *Packet) bool {
-		c.text = p.Text
+		c.textProtocol = p.Text
 		if p.Text {
-			c.command(string(p.Body))
+			c.handleCommand(string(p.Body))
 		} else {
-			c.packet(p)
+			c.handlePacket(p)
 		}
-		last = c.bad >= badMost
-		return !last
+		closeAfter = c.rejectedInARow >= maxRejectedInARow
+		return !closeAfter
 	})
-	if bad := (*link.MalformedError)(nil); errors.As(err, &bad) {
-		last = true
+	if malformed := (*link.MalformedError)(nil); errors.As(err, &malformed) {
+		closeAfter = true
 		s.limitedLog.Report("malformed packet", c.RemoteAddr(), err.Error())
-		if errors.Is(err, errLine) {
-			c.send([]byte(errTooLong))
+		if errors.Is(err, errLineTooLong) {
+			c.send([]byte(errTextLineTooLong))
 		} else {
-			c.settle() // the client is still there, and is owed its jobs' answers first
+			c.waitAnswered() // the client still gets the answers of its jobs first
 			c.send(Response(Error, codeMalformed, err.Error()))
 		}
-	} else if last {
-		c.settle()
+	} else if closeAfter {
+		c.waitAnswered()
 	}
 	close(c.done)
 	<-written
-	if last {
-		p.Linger(c.done)
+	if closeAfter {
+		conn.Linger(c.done)
 	}
-	s.leave(c)
+	s.removeClient(c)
 }
 
-// settle waits until every answer that the client is owed is in its outbox.
-func (c *client) settle() {
+// waitAnswered waits until the final answer of every submission is in the client's outbox.
+func (c *client) waitAnswered() {
 	for {
 		c.mu.Lock()
-		owed := c.owed
+		unanswered := c.unanswered
 		c.mu.Unlock()
-		if owed == 0 {
+		if unanswered == 0 {
 			return
 		}
-		<-c.settled
+		<-c.allAnswered
 	}
 }
 
-// leave forgets a client that is gone. Jobs that no one waits for any more are given up.
-func (s *Server) leave(c *client) {
+// removeClient removes a disconnected client. Foreground jobs without other waiters are cancelled.
+func (s *Server) removeClient(c *client) {
 	s.mu.Lock()
-	c.gone = true
-	var out []*dispatch.Request
-	givenUp, unwatched := s.book.RemoveClient(c)
-	for _, e := range unwatched {
-		s.rest(e.Payload.(*job))
+	c.disconnected = true
+	var toCancel []*dispatch.Request
+	cancelled, withoutWaiters := s.index.RemoveClient(c)
+	for _, entry := range withoutWaiters {
+		s.closeIfIdle(entry.Payload.(*job))
 	}
-	for _, e := range givenUp {
-		j := e.Payload.(*job)
+	for _, entry := range cancelled {
+		j := entry.Payload.(*job)
 		if j.request != nil {
-			out = append(out, j.request)
+			toCancel = append(toCancel, j.request)
 			j.request = nil
 		}
 	}
 	s.mu.Unlock()
-	for _, request := range out {
+	for _, request := range toCancel {
 		s.core.CancelRequest(request)
 	}
 }
 
-// write sends what is in the outbox, and at the end what is left of it.
-func (c *client) write() {
+// writeLoop writes messages from the outbox. When the reader is done it writes what is left, and
+// returns.
+func (c *client) writeLoop() {
 	for {
 		select {
-		case p := <-c.out:
-			if !c.put(p) {
+		case item := <-c.outbox:
+			if !c.writeItem(item) {
 				_ = c.Close()
 				return
 			}
 		case <-c.done:
-			for len(c.out) > 0 && c.put(<-c.out) {
+			for len(c.outbox) > 0 && c.writeItem(<-c.outbox) {
 			}
 			return
 		}
 	}
 }
 
-func (c *client) put(p outgoing) bool {
-	_, err := link.WriteWithTimeout(c.Conn, p.data)
-	if p.final {
+func (c *client) writeItem(item outboxItem) bool {
+	_, err := link.WriteWithTimeout(c.Conn, item.data)
+	if item.final {
 		c.AddInFlight(-1)
 	}
-	if p.told != nil {
-		p.told(err == nil)
+	if item.onWritten != nil {
+		item.onWritten(err == nil)
 	}
 	return err == nil
 }
 
-// send hands bytes to the connection's writer and never waits for it.
-func (c *client) send(data []byte) { c.hand(outgoing{data: data}) }
+// send puts encoded bytes into the outbox without blocking.
+func (c *client) send(data []byte) { c.enqueue(outboxItem{data: data}) }
 
-func (c *client) hand(p outgoing) {
+// enqueue puts a message into the outbox without blocking. If the outbox is full the connection is
+// closed.
+func (c *client) enqueue(item outboxItem) {
 	select {
-	case c.out <- p:
+	case c.outbox <- item:
 	default:
-		c.limitedLog.Report("slow reader closed", c.RemoteAddr(), "outbox full")
+		c.limitedLog.Report("client does not read its answers; closing its connection", c.RemoteAddr(), "outbox full")
 		_ = c.Close()
 	}
 }
 
-// delivery is one piece of news about a job, for each of its waiters.
-type delivery struct {
-	to    map[*client]int // submissions of each
-	final bool
-	plain []byte           // for clients without the option exceptions
-	full  []byte           // for those with it
-	told  func(whole bool) // called when it is written to a client
+// jobUpdate is a message about a job to each of its waiters.
+type jobUpdate struct {
+	recipients     map[*client]int  // number of submissions of each client
+	final          bool             // a final answer
+	basic          []byte           // for clients without the option "exceptions"
+	withExceptions []byte           // for clients with it
+	onWritten      func(whole bool) // called after each write to a client, if set
 }
 
-// deliver tells a job's waiters. Where they are many that is not done on the calling goroutine,
-// which is the core's, but in the order of the calls all the same. s.mu is held.
-func (s *Server) deliver(d delivery) {
-	if len(d.to) == 0 {
+// deliver notifies the waiters of a job. If they are many, a separate goroutine does so, since the
+// caller is the core's goroutine. Updates are delivered in the order of the calls either way.
+// s.mu must be held.
+func (s *Server) deliver(update jobUpdate) {
+	if len(update.recipients) == 0 {
 		return
 	}
-	if !s.fanning && len(d.to) <= wide {
-		s.tell(d)
+	if !s.deliveringQueue && len(update.recipients) <= maxDirectRecipients {
+		s.enqueueUpdate(update)
 		return
 	}
-	s.fan = append(s.fan, d)
-	if s.fanning {
+	s.updateQueue = append(s.updateQueue, update)
+	if s.deliveringQueue {
 		return
 	}
-	s.fanning = true
+	s.deliveringQueue = true
 	go func() {
 		for {
 			s.mu.Lock()
-			if len(s.fan) == 0 {
-				s.fanning = false
+			if len(s.updateQueue) == 0 {
+				s.deliveringQueue = false
 				s.mu.Unlock()
 				return
 			}
-			d := s.fan[0]
-			s.fan = s.fan[1:]
+			update := s.updateQueue[0]
+			s.updateQueue = s.updateQueue[1:]
 			s.mu.Unlock()
-			part := delivery{to: map[*client]int{}, final: d.final, plain: d.plain, full: d.full, told: d.told}
-			tell := func() {
+			batch := jobUpdate{recipients: map[*client]int{}, final: update.final, basic: update.basic,
+				withExceptions: update.withExceptions, onWritten: update.onWritten}
+			flush := func() {
 				s.mu.Lock()
-				s.tell(part)
+				s.enqueueUpdate(batch)
 				s.mu.Unlock()
-				clear(part.to)
+				clear(batch.recipients)
 			}
-			for c, n := range d.to { // the lock is not held for all of them at once
-				if part.to[c] = n; len(part.to) >= wide {
-					tell()
+			for c, n := range update.recipients { // in batches, so that the lock is released between them
+				if batch.recipients[c] = n; len(batch.recipients) >= maxDirectRecipients {
+					flush()
 				}
 			}
-			tell()
+			flush()
 		}
 	}()
 }
 
-func (s *Server) tell(d delivery) {
-	for c, n := range d.to {
-		if c.gone {
+// enqueueUpdate puts an update into the outbox of each recipient. s.mu must be held.
+func (s *Server) enqueueUpdate(update jobUpdate) {
+	for c, n := range update.recipients {
+		if c.disconnected {
 			continue
 		}
-		data := d.plain
-		if c.exceptions {
-			data = d.full
+		data := update.basic
+		if c.wantsExceptions {
+			data = update.withExceptions
 		}
 		for range n {
-			c.hand(outgoing{data, d.final, d.told})
+			c.enqueue(outboxItem{data, update.final, update.onWritten})
 		}
-		if d.final {
-			if c.owed -= n; c.owed == 0 {
+		if update.final {
+			if c.unanswered -= n; c.unanswered == 0 {
 				select {
-				case c.settled <- struct{}{}:
+				case c.allAnswered <- struct{}{}:
 				default:
 				}
 			}
@@ -315,14 +324,14 @@
 	}
 }
 
-// newHandle returns a handle that no other job of this dispatcher has, and where jobs are
-// stored none had before its restart.
+// newHandle returns a job handle that is unique within this dispatcher, and with a job store
+// across its restarts too.
 func (s *Server) newHandle() string {
 	var n uint64
-	if s.keeper != nil {
-		n = s.keeper.NextID()
+	if s.scheduler != nil {
+		n = s.scheduler.NextID()
 	} else {
-		n = s.nextJob.Add(1)
+		n = s.lastJobNumber.Add(1)
 	}
-	return "H:" + s.o.DispatcherName + ":" + strconv.FormatUint(n, 10)
+	return "H:" + s.opts.DispatcherName + ":" + strconv.FormatUint(n, 10)
 }
--- a/internal/gearman/status.go
+++ b/internal/gearman/status.go
@@ -4,37 +4,39 @@
 	"strconv"
 )
 
-func (c *client) status(handle string) {
+// sendStatus answers GET_STATUS.
+func (c *client) sendStatus(handle string) {
 	c.mu.Lock()
 	known, running, share := "0", "0", 0.0
-	e := c.book.ByHandle(handle)
-	if e != nil {
-		if known, share = "1", e.Progress; e.Running {
+	entry := c.index.ByHandle(handle)
+	if entry != nil {
+		if known, share = "1", entry.Progress; entry.Running {
 			running = "1"
 		}
 	}
 	c.mu.Unlock()
-	if e == nil && c.keeper != nil {
-		if o, err := c.keeper.Store().Handle(handle); err == nil && o.State.Dead == "" {
+	if entry == nil && c.scheduler != nil {
+		if stored, err := c.scheduler.Store().Handle(handle); err == nil && stored.State.Dead == "" {
 			known = "1"
 		}
 	}
 	c.send(Response(StatusRes, handle, known, running, percent(share), "100"))
 }
 
-func (c *client) statusUnique(unique string) {
+// sendStatusUnique answers GET_STATUS_UNIQUE.
+func (c *client) sendStatusUnique(unique string) {
 	c.mu.Lock()
 	known, running, share, waiting := "0", "0", 0.0, 0
-	e := c.book.ByUniqueID(unique)
-	if e != nil {
-		if known, share, waiting = "1", e.Progress, e.WaitingSubmissions; e.Running {
+	entry := c.index.ByUniqueID(unique)
+	if entry != nil {
+		if known, share, waiting = "1", entry.Progress, entry.WaitingSubmissions; entry.Running {
 			running = "1"
 		}
 	}
 	c.mu.Unlock()
-	if e == nil && c.keeper != nil {
-		for function := range c.file.Functions {
-			if o, err := c.keeper.Store().Unique(function, unique); err == nil && o.State.Dead == "" {
+	if entry == nil && c.scheduler != nil {
+		for function := range c.config.Functions {
+			if stored, err := c.scheduler.Store().Unique(function, unique); err == nil && stored.State.Dead == "" {
 				known = "1"
 			}
 		}
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -7,49 +7,51 @@
 	"tinroute.example/tinroute/internal/recovery"
 )
 
-// The methods of background.Front, which the keeper calls. The server's lock may be held when
-// the keeper's is taken, never the other way round.
+// This file holds the methods of background.JobServer, which the scheduler calls. Lock order:
+// Server.mu may be held when the scheduler's lock is taken, never the other way round.
 
-// reopen enters a stored job in the book again. s.mu is held.
-func (s *Server) reopen(o *jobstore.Stored) *job {
-	r := o.Job
-	if e := s.book.ByHandle(r.Handle); e != nil {
-		return e.Payload.(*job)
+// reopenStored returns the open job of a stored job, and adds it to the index if it is not there.
+// s.mu must be held.
+func (s *Server) reopenStored(stored *jobstore.Stored) *job {
+	record := stored.Job
+	if entry := s.index.ByHandle(record.Handle); entry != nil {
+		return entry.Payload.(*job)
 	}
-	j := &job{server: s, handle: r.Handle, function: r.Function, unique: r.Unique, data: string(r.Data), id: r.ID}
-	unique := r.Unique
-	if s.book.ByKey(r.Function, unique) != nil { // a later job has it, since this one was dead for a while
+	j := &job{server: s, handle: record.Handle, function: record.Function, unique: record.Unique,
+		data: string(record.Data), storeID: record.ID}
+	unique := record.Unique
+	if s.index.ByKey(record.Function, unique) != nil { // a later job took the unique ID while this one was a dead letter
 		unique = ""
 	}
-	j.entry = s.book.Open(r.Handle, r.Function, unique, len(r.Data), true)
+	j.entry = s.index.Open(record.Handle, record.Function, unique, len(record.Data), true)
 	j.entry.Payload = j
 	return j
 }
 
-// Offer submits a stored job.
-func (s *Server) Offer(o *jobstore.Stored, earlier *balance.PriorAttempt) {
+// Offer submits a stored job to the dispatcher.
+func (s *Server) Offer(stored *jobstore.Stored, prior *balance.PriorAttempt) {
 	s.mu.Lock()
-	if s.draining { // the keeper was about to when the word came
+	if s.draining { // the scheduler had chosen the job before it was told to drain
 		s.mu.Unlock()
 		return
 	}
-	j := s.reopen(o)
-	j.offers = max(j.offers, o.State.Offers+o.State.Sends) // ids that were in use before a restart are not used again
-	request := s.request(j, s.file.Functions[j.function])
-	request.PriorAttempt = earlier
+	j := s.reopenStored(stored)
+	j.offers = max(j.offers, stored.State.Offers+stored.State.Sends) // do not reuse request IDs from before a restart
+	request := s.newRequest(j, s.config.Functions[j.function])
+	request.PriorAttempt = prior
 	s.mu.Unlock()
 	s.core.Submit(request)
 }
 
-// Withdraw takes an offer back.
-func (s *Server) Withdraw(o *jobstore.Stored) {
+// Withdraw cancels the request of an offer that has not been sent.
+func (s *Server) Withdraw(stored *jobstore.Stored) {
 	s.mu.Lock()
 	var request *dispatch.Request
-	if e := s.book.ByHandle(o.Job.Handle); e != nil {
-		j := e.Payload.(*job)
+	if entry := s.index.ByHandle(stored.Job.Handle); entry != nil {
+		j := entry.Payload.(*job)
 		request, j.request = j.request, nil
-		s.fail(j, ending)
-		s.rest(j)
+		s.failWaiters(j, reasonDraining)
+		s.closeIfIdle(j)
 	}
 	s.mu.Unlock()
 	if request != nil {
@@ -57,78 +59,81 @@
 	}
 }
 
-// fail tells all who wait for a job that they wait in vain; the job itself stays. s.mu is held.
-func (s *Server) fail(j *job, reason string) {
-	plain := Response(WorkFail, j.handle)
-	s.deliver(delivery{to: s.book.DetachWaiters(j.entry), final: true, plain: plain,
-		full: append(Response(WorkException, j.handle, reason), plain...)})
+// failWaiters sends a failure to every client that waits for a job. The job itself stays open. s.mu
+// must be held.
+func (s *Server) failWaiters(j *job, reason string) {
+	basic := Response(WorkFail, j.handle)
+	s.deliver(jobUpdate{recipients: s.index.DetachWaiters(j.entry), final: true, basic: basic,
+		withExceptions: append(Response(WorkException, j.handle, reason), basic...)})
 }
 
-// DeadLettered tells who waits for a job that it is dead.
-func (s *Server) DeadLettered(o *jobstore.Stored, reason string) {
+// DeadLettered sends a failure to the clients that wait for a job which became a dead letter.
+func (s *Server) DeadLettered(stored *jobstore.Stored, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.book.ByHandle(o.Job.Handle); e != nil {
-		s.fail(e.Payload.(*job), "dead: "+reason)
-		s.book.Close(e)
+	if entry := s.index.ByHandle(stored.Job.Handle); entry != nil {
+		s.failWaiters(entry.Payload.(*job), "dead: "+reason)
+		s.index.Close(entry)
 	}
 }
 
-// JobNotFound tells that a job which clients joined had ended: it is a new one then.
+// JobNotFound handles a promoted job that had already ended in the store. If clients wait for it,
+// it is submitted as a new foreground job.
 func (s *Server) JobNotFound(handle string) {
 	s.mu.Lock()
-	e := s.book.ByHandle(handle)
-	if e == nil || e.Payload.(*job).request != nil {
+	entry := s.index.ByHandle(handle)
+	if entry == nil || entry.Payload.(*job).request != nil {
 		s.mu.Unlock()
 		return
 	}
-	j := e.Payload.(*job)
-	if e.WaitingSubmissions == 0 {
-		s.book.Close(e)
+	j := entry.Payload.(*job)
+	if entry.WaitingSubmissions == 0 {
+		s.index.Close(entry)
 		s.mu.Unlock()
 		return
 	}
-	s.book.SetBackground(e, false)
+	s.index.SetBackground(entry, false)
 	j.mu.Lock()
-	j.id = 0
+	j.storeID = 0
 	j.mu.Unlock()
-	request := s.request(j, s.file.Functions[j.function])
+	request := s.newRequest(j, s.config.Functions[j.function])
 	s.mu.Unlock()
 	s.core.Submit(request)
 }
 
-// Class is a function's class, or nil.
+// Class returns the class of a function, or nil if it is unknown.
 func (s *Server) Class(function string) *balance.Class { return s.classes[function] }
 
-func ends(a dispatch.Answer) recovery.Outcome {
+// offerOutcome maps the core's answer to the outcome of an offer.
+func offerOutcome(answer dispatch.Answer) recovery.Outcome {
 	switch {
-	case a.Verdict == dispatch.Served:
+	case answer.Verdict == dispatch.Served:
 		return recovery.OutcomeServed
-	case a.Verdict == dispatch.Refused:
+	case answer.Verdict == dispatch.Refused:
 		return recovery.OutcomeRefused
-	case a.InvalidRequest:
-		return recovery.OutcomeUnfit
+	case answer.InvalidRequest:
+		return recovery.OutcomeInvalid
 	}
 	return recovery.OutcomeFailed
 }
 
-// cancel ends a job by its handle, wherever it is, and tells who waits for it. It waits for the
-// disk.
+// cancel ends an open or stored job and sends a failure to its waiters. It blocks until a stored
+// job is removed from disk.
 func (s *Server) cancel(handle string) error {
 	s.mu.Lock()
 	var request *dispatch.Request
-	e := s.book.ByHandle(handle)
-	background := e == nil
-	if e != nil {
-		j := e.Payload.(*job)
-		if j.put != nil { // it is not known to be stored yet, and its submitters wait for that word
+	entry := s.index.ByHandle(handle)
+	background := entry == nil
+	if entry != nil {
+		j := entry.Payload.(*job)
+		if j.storeCallbacks != nil { // still being written: its submitters have not been answered yet
 			s.mu.Unlock()
 			return jobstore.ErrUnknown
 		}
-		background = e.Background
+		background = entry.Background
 		request, j.request = j.request, nil
-		s.fail(j, "cancelled")
-		s.book.Close(e)
+		s.failWaiters(j, "cancelled")
+		s.index.Close(entry)
 	}
 	s.mu.Unlock()
 	if request != nil {
@@ -137,8 +142,8 @@
 	if !background {
 		return nil
 	}
-	if s.keeper == nil {
+	if s.scheduler == nil {
 		return jobstore.ErrUnknown
 	}
-	return s.keeper.Cancel(handle)
+	return s.scheduler.Cancel(handle)
 }
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -16,11 +16,11 @@
 	"tinroute.example/tinroute/internal/jobstore"
 )
 
-// maxUnique bounds a unique id, which is a key of the store.
-const maxUnique = 512
+// maxUniqueBytes is the longest accepted unique ID, which is a key in the job store.
+const maxUniqueBytes = 512
 
-// packet takes one packet from the client; what is not served gets an ERROR.
-func (c *client) packet(p *Packet) {
+// handlePacket handles one packet from the client. Unsupported packets are answered with ERROR.
+func (c *client) handlePacket(p *Packet) {
 	var err error
 	switch p.Type {
 	case SubmitJob, SubmitJobHigh, SubmitJobLow:
@@ -32,198 +32,204 @@
 	case SubmitJobSched:
 		err = c.submit(p, 8, true)
 	case EchoReq:
-		c.good()
+		c.markValid()
 		c.send(Response(EchoRes, string(p.Body)))
 	case OptionReq:
 		if string(p.Body) != "exceptions" {
-			c.refuse(codeUnserved, fmt.Sprintf("option %.40q", p.Body))
+			c.rejectPacket(codeNotServed, fmt.Sprintf("option %.40q", p.Body))
 			break
 		}
-		c.good()
+		c.markValid()
 		c.mu.Lock()
-		c.exceptions = true
+		c.wantsExceptions = true
 		c.mu.Unlock()
 		c.send(Response(OptionRes, "exceptions"))
 	case GetStatus:
-		c.good()
-		c.status(string(p.Body))
+		c.markValid()
+		c.sendStatus(string(p.Body))
 	case GetStatusUnique:
-		c.good()
-		c.statusUnique(string(p.Body))
+		c.markValid()
+		c.sendStatusUnique(string(p.Body))
 	case SubmitReduce, SubmitReduceBG:
-		c.refuse(codeUnserved, "reducers are not served")
+		c.rejectPacket(codeNotServed, "reducers are not served")
 	default:
-		c.refuse(codeUnserved, fmt.Sprintf("packet type %d is not served", p.Type))
+		c.rejectPacket(codeNotServed, fmt.Sprintf("packet type %d is not served", p.Type))
 	}
 	if err != nil {
-		c.refuse(codeMalformed, err.Error())
+		c.rejectPacket(codeMalformed, err.Error())
 	}
 }
 
-// good notes that the client has sent something that is served.
-func (c *client) good() {
-	if c.bad = 0; !c.text {
+// markValid records that the client sent a valid request.
+func (c *client) markValid() {
+	if c.rejectedInARow = 0; !c.textProtocol {
 		c.MarkValidated()
 	}
 }
 
-// refuse answers what is not served. A connection that brings nothing else is closed in the end.
-func (c *client) refuse(code, text string) {
-	c.bad++
+// rejectPacket answers a malformed or unsupported packet with ERROR. Too many of them in a row
+// close the connection.
+func (c *client) rejectPacket(code, text string) {
+	c.rejectedInARow++
 	c.limitedLog.Report("packet not served", c.RemoteAddr(), code, "why", text)
 	c.send(Response(Error, code, text))
 }
 
-// turnAway answers a good submission that finds no room: the client may come again.
-func (c *client) turnAway(code string, why error) {
-	c.limitedLog.Report("job not taken", c.RemoteAddr(), code, "why", why.Error())
+// rejectJob answers a valid submission that exceeds a limit, or that the job store cannot take,
+// with ERROR. It does not count towards closing the connection: the client may retry.
+func (c *client) rejectJob(code string, why error) {
+	c.limitedLog.Report("job rejected", c.RemoteAddr(), code, "why", why.Error())
 	c.send(Response(Error, code, why.Error()))
 }
 
-// submit takes a job. A function is a class, the unique id is the idempotency key.
-func (c *client) submit(p *Packet, n int, background bool) error {
-	raw, err := p.Args(n)
+// submit handles a job submission with n arguments. The function selects the class, the unique ID
+// is the idempotency key.
+func (c *client) submit(p *Packet, argCount int, background bool) error {
+	raw, err := p.Args(argCount)
 	if err != nil {
 		return err
 	}
-	args := make([]string, n)
+	args := make([]string, argCount)
 	for i, a := range raw {
 		args[i] = string(a)
 	}
-	j := &job{server: c.Server, function: args[0], unique: args[1], data: args[n-1]}
-	f, ok := c.file.Functions[j.function]
+	j := &job{server: c.Server, function: args[0], unique: args[1], data: args[argCount-1]}
+	defaults, ok := c.config.Functions[j.function]
 	c.mu.Lock()
-	dropped := c.dropped[j.function]
+	dropped := c.droppedFunctions[j.function]
 	c.mu.Unlock()
 	switch {
 	case !ok || dropped:
-		c.refuse(codeUnknown, fmt.Sprintf("no function %.40q", j.function))
+		c.rejectPacket(codeUnknownFunction, fmt.Sprintf("no function %.40q", j.function))
 		return nil
-	case len(j.unique) > maxUnique:
-		return fmt.Errorf("unique id over %d bytes", maxUnique)
+	case len(j.unique) > maxUniqueBytes:
+		return fmt.Errorf("unique id over %d bytes", maxUniqueBytes)
 	case j.unique == "-":
 		sum := blake3.Sum256([]byte(j.data))
 		j.unique = "-" + hex.EncodeToString(sum[:16])
-	case j.unique == "" && c.core.Settings().Classes[f.Class].Idempotency == balance.Deduplicated:
-		c.refuse(codeKey, "function "+j.function+" wants a unique id")
+	case j.unique == "" && c.core.Settings().Classes[defaults.Class].Idempotency == balance.Deduplicated:
+		c.rejectPacket(codeUniqueMissing, "function "+j.function+" wants a unique id")
 		return nil
 	}
-	if background && c.keeper == nil {
-		if c.o.StoreErr != nil {
-			c.turnAway(codeStore, jobstore.ErrUnavailable)
+	if background && c.scheduler == nil {
+		if c.opts.StoreErr != nil {
+			c.rejectJob(codeStoreUnavailable, jobstore.ErrUnavailable)
 		} else {
-			c.refuse(codeUnserved, "background jobs are not served: no job store is configured")
+			c.rejectPacket(codeNotServed, "background jobs are not served: no job store is configured")
 		}
 		return nil
 	}
 	due := time.Time{}
-	switch n {
+	switch argCount {
 	case 4:
-		due, err = atEpoch(args[2], c.keeper.WallTime())
+		due, err = parseEpoch(args[2], c.scheduler.WallTime())
 	case 8:
-		due, err = atSchedule(args[2:7], c.keeper.WallTime())
+		due, err = nextScheduled(args[2:7], c.scheduler.WallTime())
 	}
 	if err != nil {
 		return err
 	}
-	c.good()
+	c.markValid()
 	if background {
 		c.submitBackground(j, due)
 	} else {
-		c.submitForeground(j, f)
+		c.submitForeground(j, defaults)
 	}
 	return nil
 }
 
-// stored returns the stored job that a submission is part of, where it is not open, or nil. It
-// reads from disk.
-func (s *Server) stored(j *job) *jobstore.Stored {
-	if s.keeper == nil || j.unique == "" {
+// findStored returns the stored job with the function and unique ID of a submission, or nil if
+// there is none or the job is open. It reads from disk.
+func (s *Server) findStored(j *job) *jobstore.Stored {
+	if s.scheduler == nil || j.unique == "" {
 		return nil
 	}
 	s.mu.Lock()
-	open := s.book.ByKey(j.function, j.unique) != nil
+	open := s.index.ByKey(j.function, j.unique) != nil
 	s.mu.Unlock()
 	if open {
 		return nil
 	}
-	if o, err := s.keeper.Store().Unique(j.function, j.unique); err == nil && o.State.Dead == "" {
-		return o
+	if stored, err := s.scheduler.Store().Unique(j.function, j.unique); err == nil && stored.State.Dead == "" {
+		return stored
 	}
 	return nil
 }
 
-func (s *Server) waiting(function string) int {
-	if s.keeper == nil {
+// storedCount returns how many jobs of a function are in the job store.
+func (s *Server) storedCount(function string) int {
+	if s.scheduler == nil {
 		return 0
 	}
-	return s.keeper.Store().Function(function)
+	return s.scheduler.Store().Function(function)
 }
 
-// submitForeground takes a job that the client waits for. One of a function and unique id that
-// is open is the same job: this client becomes another of its waiters.
-func (c *client) submitForeground(j *job, f config.FunctionDefaults) {
-	stored := c.stored(j)
+// submitForeground accepts a job that the client waits for. If a job with the same function and
+// unique ID is open, the client becomes another waiter of that job.
+func (c *client) submitForeground(j *job, defaults config.FunctionDefaults) {
+	stored := c.findStored(j)
 	c.mu.Lock()
-	if err := c.book.CheckJoin(c); err != nil {
+	if err := c.index.CheckJoin(c); err != nil {
 		c.mu.Unlock()
-		c.turnAway(codeBusy, err)
+		c.rejectJob(codeTooManyJobs, err)
 		return
 	}
-	e := c.book.ByKey(j.function, j.unique)
-	if e == nil && stored != nil {
-		e = c.reopen(stored).entry
+	entry := c.index.ByKey(j.function, j.unique)
+	if entry == nil && stored != nil {
+		entry = c.reopenStored(stored).entry
 	}
-	var promote *job // it waits for its next offer
-	if e != nil {
-		if o := e.Payload.(*job); o.unoffered() {
-			promote = o
+	var toPromote *job // a stored job that waits for its next offer
+	if entry != nil {
+		if existing := entry.Payload.(*job); existing.awaitsOffer() {
+			toPromote = existing
 		}
 	}
 	var request *dispatch.Request
-	if e == nil {
-		if err := c.book.CheckOpen(j.function, len(j.data), c.waiting(j.function)); err != nil {
+	if entry == nil {
+		if err := c.index.CheckOpen(j.function, len(j.data), c.storedCount(j.function)); err != nil {
 			c.mu.Unlock()
-			c.turnAway(code(err), err)
+			c.rejectJob(rejectionCode(err), err)
 			return
 		}
 		j.handle = c.newHandle()
-		e = c.book.Open(j.handle, j.function, j.unique, len(j.data), false)
-		e.Payload, j.entry = j, e
-		request = c.request(j, f)
+		entry = c.index.Open(j.handle, j.function, j.unique, len(j.data), false)
+		entry.Payload, j.entry = j, entry
+		request = c.newRequest(j, defaults)
 	}
-	c.book.Join(e, c)
-	c.owed++
+	c.index.Join(entry, c)
+	c.unanswered++
 	c.AddInFlight(1)
-	c.send(Response(JobCreated, e.Handle)) // before any answer: both are handed over under the lock
+	c.send(Response(JobCreated, entry.Handle)) // under the lock, so that it precedes any answer
 	c.mu.Unlock()
 	if request != nil {
 		c.core.Submit(request)
 	}
-	if promote != nil {
-		c.promote(promote)
+	if toPromote != nil {
+		c.promote(toPromote)
 	}
 }
 
-func code(err error) string {
+// rejectionCode returns the ERROR code for a rejected submission.
+func rejectionCode(err error) string {
 	switch {
 	case errors.Is(err, jobindex.ErrClientLimit):
-		return codeBusy
+		return codeTooManyJobs
 	case errors.Is(err, jobstore.ErrUnavailable), errors.Is(err, jobstore.ErrClosed):
-		return codeStore
+		return codeStoreUnavailable
 	}
-	return codeQueue
+	return codeQueueFull
 }
 
-// request makes a job's next request. Its id is never one that a worker may still have
-// an attempt of. s.mu is held.
-func (s *Server) request(j *job, f config.FunctionDefaults) *dispatch.Request {
+// newRequest creates the next request of a job. Each request of a job has its own ID, since a
+// worker may still run an attempt of an earlier one. s.mu must be held.
+func (s *Server) newRequest(j *job, defaults config.FunctionDefaults) *dispatch.Request {
 	j.offers++
 	id := j.handle
 	if j.offers > 1 {
 		id += "#" + strconv.Itoa(j.offers)
 	}
-	j.request = &dispatch.Request{ID: id, Class: f.Class, Tenant: f.Tenant, Timeout: f.Deadline, WorkHint: f.Cost, Slots: 1, Payload: j}
+	j.request = &dispatch.Request{ID: id, Class: defaults.Class, Tenant: defaults.Tenant, Timeout: defaults.Deadline,
+		WorkHint: defaults.Cost, Slots: 1, Payload: j}
 	j.request.Client = &submission{j, j.request}
 	return j.request
 }
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -14,133 +14,135 @@
 	"tinroute.example/tinroute/internal/jobstore"
 )
 
-// The text protocol of administration, by gearman.org's protocol page; its errors are worded as
-// gearmand words them. A list ends with a line of one dot.
+// Responses of the administrative text protocol, as described on the protocol page of gearman.org.
+// Errors have the wording of gearmand. A list ends with a line that holds a single dot.
 const (
-	textOK         = "OK\r\n"
-	textEnd        = ".\r\n"
-	errArgs        = "ERR INVALID_ARGUMENTS An+incomplete+set+of+arguments+was+sent+to+this+command+%s\r\n"
-	errCommand     = "ERR UNKNOWN_COMMAND Unknown+server+command%s\r\n"
-	errShow        = "ERR UNKNOWN_SHOW_ARGUMENTS\r\n"
-	errJob         = "ERR UNKNOWN_JOB\r\n"
-	errCreate      = "ERR CREATE_FUNCTION %s\r\n"
-	errNoFunction  = "ERR function+not+found\r\n"
-	errInUse       = "ERR there+are+still+connected+workers+or+executing+clients\r\n"
-	errForbidden   = "ERR NOT_ALLOWED The+settings+do+not+allow+this+command\r\n"
-	errNoStore     = "ERR NO_STORE No+job+store+is+configured\r\n"
-	errTooLong     = "ERR LINE_TOO_LONG A+line+is+1024+bytes+at+most\r\n"
-	errStoreFailed = "ERR STORE %s\r\n"
+	textOK              = "OK\r\n"
+	textEnd             = ".\r\n"
+	errInvalidArguments = "ERR INVALID_ARGUMENTS An+incomplete+set+of+arguments+was+sent+to+this+command+%s\r\n"
+	errUnknownCommand   = "ERR UNKNOWN_COMMAND Unknown+server+command%s\r\n"
+	errUnknownShow      = "ERR UNKNOWN_SHOW_ARGUMENTS\r\n"
+	errUnknownJob       = "ERR UNKNOWN_JOB\r\n"
+	errCreateFunction   = "ERR CREATE_FUNCTION %s\r\n"
+	errNoFunction       = "ERR function+not+found\r\n"
+	errFunctionInUse    = "ERR there+are+still+connected+workers+or+executing+clients\r\n"
+	errForbidden        = "ERR NOT_ALLOWED The+settings+do+not+allow+this+command\r\n"
+	errNoStore          = "ERR NO_STORE No+job+store+is+configured\r\n"
+	errTextLineTooLong  = "ERR LINE_TOO_LONG A+line+is+1024+bytes+at+most\r\n"
+	errStore            = "ERR STORE %s\r\n"
 
-	// listMost bounds the lines of a list; a line in place of the rest says how many there are.
-	listMost = 10_000
-	// versionText is what `version` tells.
+	// maxListLines is the most lines in a list.
+	maxListLines = 10_000
+	// versionText is the answer to the version command.
 	versionText = "tinroute-1"
 )
 
-// command answers one line of the text protocol. A connection that brings nothing but errors is
-// closed in the end.
-func (c *client) command(line string) {
-	f := strings.Fields(line)
-	if len(f) == 0 {
-		f = []string{""}
+// handleCommand handles one line of the text protocol. Too many errors in a row close the
+// connection.
+func (c *client) handleCommand(line string) {
+	words := strings.Fields(line)
+	if len(words) == 0 {
+		words = []string{""}
 	}
-	before := c.bad
+	before := c.rejectedInARow
 	c.MarkValidated()
-	c.bad = 0
-	answer := c.answerTo(f)
+	c.rejectedInARow = 0
+	answer := c.runCommand(words)
 	if strings.HasPrefix(answer, "ERR") {
-		c.bad = before + 1
+		c.rejectedInARow = before + 1
 		c.limitedLog.Report("command not served", c.RemoteAddr(), strings.Fields(answer)[1])
 	}
 	c.send([]byte(answer))
 }
 
-func (c *client) answerTo(f []string) string {
+// runCommand runs a command and returns the response.
+func (c *client) runCommand(words []string) string {
 	arg := func(n int) string {
-		if n < len(f) {
-			return f[n]
+		if n < len(words) {
+			return words[n]
 		}
 		return ""
 	}
-	switch f[0] + " " + arg(1) {
+	switch words[0] + " " + arg(1) {
 	case "show jobs":
-		return c.showJobs(false)
+		return c.listJobs(false)
 	case "show unique":
 		if arg(2) == "jobs" {
-			return c.showJobs(true)
+			return c.listJobs(true)
 		}
-		return errShow
+		return errUnknownShow
 	case "show dead":
-		return c.showDead()
+		return c.listDeadLetters()
 	case "cancel job":
-		if len(f) < 3 {
-			return fmt.Sprintf(errArgs, "cancel+job")
+		if len(words) < 3 {
+			return fmt.Sprintf(errInvalidArguments, "cancel+job")
 		}
-		return storeAnswer(c.cancel(f[2]))
+		return storeResponse(c.cancel(words[2]))
 	case "create function":
-		return c.create(arg(2))
+		return c.createFunction(arg(2))
 	case "drop function":
-		return c.drop(arg(2))
+		return c.dropFunction(arg(2))
 	case "release job":
-		return c.release(arg(2))
+		return c.releaseJob(arg(2))
 	case "store compact":
-		return c.compact()
+		return c.compactStore()
 	}
-	switch f[0] {
+	switch words[0] {
 	case "status":
-		return c.functionStatus()
+		return c.listFunctions()
 	case "workers":
-		return c.workers()
+		return c.listWorkers()
 	case "version":
 		return "OK " + versionText + "\r\n"
 	case "getpid":
 		return fmt.Sprintf("OK %d\r\n", os.Getpid())
 	case "verbose":
-		return "OK ERROR\r\n" // what is logged is not the text protocol's to change
+		return "OK ERROR\r\n" // the log level cannot be changed by this protocol
 	case "maxqueue":
-		return c.maxqueue(f)
+		return c.setMaxQueue(words)
 	case "show":
-		return errShow
+		return errUnknownShow
 	case "cancel", "create", "drop", "release":
-		return fmt.Sprintf(errArgs, f[0])
+		return fmt.Sprintf(errInvalidArguments, words[0])
 	case "store":
 		return c.storeStatus()
 	case "shutdown":
-		return c.shutdown(f)
+		return c.shutdown(words)
 	}
-	return fmt.Sprintf(errCommand, "+"+oneLine(strings.ToValidUTF8(fmt.Sprintf("%.40s", f[0]), "?")))
+	return fmt.Sprintf(errUnknownCommand, "+"+replaceControls(strings.ToValidUTF8(fmt.Sprintf("%.40s", words[0]), "?")))
 }
 
-// compact makes the job store's file small.
-func (c *client) compact() string {
-	if c.keeper == nil {
+// compactStore compacts the job store's file.
+func (c *client) compactStore() string {
+	if c.scheduler == nil {
 		return errNoStore
 	}
 	done := make(chan error, 1)
-	c.keeper.Store().Compact(func(err error) { done <- err })
+	c.scheduler.Store().Compact(func(err error) { done <- err })
 	if err := <-done; err != nil {
-		return fmt.Sprintf(errStoreFailed, plus(err))
+		return fmt.Sprintf(errStore, plusEncoded(err))
 	}
 	return textOK
 }
 
-// shutdown ends the process in order, where the file allows it. Both kinds drain: a job that was taken
-// is owed its answer.
-func (c *client) shutdown(f []string) string {
-	if !c.file.AllowShutdown || c.o.Shutdown == nil {
+// shutdown shuts the process down, if the settings allow it. With and without "graceful" the
+// process drains, since every accepted job must be answered.
+func (c *client) shutdown(words []string) string {
+	if !c.config.AllowShutdown || c.opts.Shutdown == nil {
 		return errForbidden
 	}
-	if len(f) > 1 && f[1] != "graceful" {
-		return fmt.Sprintf(errArgs, "shutdown")
+	if len(words) > 1 && words[1] != "graceful" {
+		return fmt.Sprintf(errInvalidArguments, "shutdown")
 	}
-	time.AfterFunc(10*time.Millisecond, c.o.Shutdown) // the answer goes first
+	time.AfterFunc(10*time.Millisecond, c.opts.Shutdown) // after the answer is written
 	return textOK
 }
 
+// functionNames returns the sorted names of the functions that accept jobs. s.mu must be held.
 func (s *Server) functionNames() []string {
 	var names []string
-	for name := range s.file.Functions {
-		if !s.dropped[name] {
+	for name := range s.config.Functions {
+		if !s.droppedFunctions[name] {
 			names = append(names, name)
 		}
 	}
@@ -148,191 +150,195 @@
 	return names
 }
 
-// functionStatus tells of each function its jobs, how many of them run, and its workers.
-func (s *Server) functionStatus() string {
-	workers := len(s.o.Workers())
+// listFunctions lists the functions: name, jobs, running jobs and workers.
+func (s *Server) listFunctions() string {
+	workers := len(s.opts.Workers())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := &strings.Builder{}
 	for _, name := range s.functionNames() {
-		open, running := s.book.Counts(name)
-		fmt.Fprintf(b, "%s\t%d\t%d\t%d\r\n", name, open+max(0, s.waiting(name)-s.book.BackgroundCount(name)), running, workers)
+		open, running := s.index.Counts(name)
+		fmt.Fprintf(b, "%s\t%d\t%d\t%d\r\n", name, open+max(0, s.storedCount(name)-s.index.BackgroundCount(name)), running, workers)
 	}
 	return b.String() + textEnd
 }
 
-// workers lists the workers: each serves every function.
-func (s *Server) workers() string {
-	workers := s.o.Workers()
+// listWorkers lists the workers. Each of them serves every function.
+func (s *Server) listWorkers() string {
+	workers := s.opts.Workers()
 	s.mu.Lock()
 	functions := strings.Join(s.functionNames(), " ")
 	s.mu.Unlock()
 	slices.SortFunc(workers, func(x, y dispatch.Worker) int { return cmp.Compare(x.Name, y.Name) })
 	b := &strings.Builder{}
-	for i, r := range workers {
-		if i >= listMost {
+	for i, worker := range workers {
+		if i >= maxListLines {
 			break
 		}
-		fmt.Fprintf(b, "%d %s %s : %s\r\n", i, r.Addr, r.Name, functions)
+		fmt.Fprintf(b, "%d %s %s : %s\r\n", i, worker.Addr, worker.Name, functions)
 	}
 	return b.String() + textEnd
 }
 
-// showJobs lists the open jobs, then stored ones: handle, retries, whether it is ignored, and
-// whether it is queued; or only the unique ids.
-func (s *Server) showJobs(unique bool) string {
+// listJobs lists the open jobs, then the stored ones: handle, retries, 0 for "not ignored", and
+// whether the job is queued. With unique it lists only the unique IDs.
+func (s *Server) listJobs(unique bool) string {
 	b := &strings.Builder{}
-	left := listMost
+	remaining := maxListLines
 	seen := map[string]bool{}
 	line := func(handle, id string, retries int, queued bool) {
 		seen[handle] = true
-		left--
+		remaining--
 		if unique {
-			fmt.Fprintf(b, "%s\r\n", oneLine(id))
+			fmt.Fprintf(b, "%s\r\n", replaceControls(id))
 			return
 		}
 		fmt.Fprintf(b, "%s\t%d\t0\t%d\r\n", handle, retries, map[bool]int{true: 1}[queued])
 	}
 	s.mu.Lock()
-	for _, e := range s.book.Jobs(listMost) {
-		j := e.Payload.(*job)
-		line(e.Handle, j.unique, max(0, j.offers-1), !e.Running)
+	for _, entry := range s.index.Jobs(maxListLines) {
+		j := entry.Payload.(*job)
+		line(entry.Handle, j.unique, max(0, j.offers-1), !entry.Running)
 	}
 	s.mu.Unlock()
-	if s.keeper != nil && left > 0 {
-		_ = s.keeper.Store().List(false, left, func(o *jobstore.Stored) {
-			if !seen[o.Job.Handle] && left > 0 {
-				line(o.Job.Handle, o.Job.Unique, o.State.Offers, true)
+	if s.scheduler != nil && remaining > 0 {
+		_ = s.scheduler.Store().List(false, remaining, func(stored *jobstore.Stored) {
+			if !seen[stored.Job.Handle] && remaining > 0 {
+				line(stored.Job.Handle, stored.Job.Unique, stored.State.Offers, true)
 			}
 		})
 	}
 	return b.String() + textEnd
 }
 
-// showDead lists the dead letters: handle, function, unique id, why, when, sends, and the worker
-// that may have run it.
-func (s *Server) showDead() string {
-	if s.keeper == nil {
+// listDeadLetters lists the dead letters: handle, function, unique ID, reason, time, number of
+// sends, and the worker of the first send that may have run.
+func (s *Server) listDeadLetters() string {
+	if s.scheduler == nil {
 		return errNoStore
 	}
 	b := &strings.Builder{}
-	err := s.keeper.Store().List(true, listMost, func(o *jobstore.Stored) {
-		at, worker := time.Unix(0, int64(o.State.Since)).UTC().Format(time.RFC3339), "-"
-		if o.State.First != nil {
-			worker = o.State.First.Region
+	err := s.scheduler.Store().List(true, maxListLines, func(stored *jobstore.Stored) {
+		at, worker := time.Unix(0, int64(stored.State.Since)).UTC().Format(time.RFC3339), "-"
+		if stored.State.First != nil {
+			worker = stored.State.First.Region
 		}
-		fmt.Fprintf(b, "%s\t%s\t%s\t%s\t%s\t%d\t%s\r\n", o.Job.Handle, o.Job.Function, oneLine(o.Job.Unique), o.State.Dead, at,
-			o.State.Sends, worker)
+		fmt.Fprintf(b, "%s\t%s\t%s\t%s\t%s\t%d\t%s\r\n", stored.Job.Handle, stored.Job.Function, replaceControls(stored.Job.Unique),
+			stored.State.Dead, at, stored.State.Sends, worker)
 	})
 	if err != nil {
-		return fmt.Sprintf(errStoreFailed, plus(err))
+		return fmt.Sprintf(errStore, plusEncoded(err))
 	}
 	return b.String() + textEnd
 }
 
-// release gives a dead letter, or all, its life back.
-func (s *Server) release(handle string) string {
+// releaseJob puts one dead letter, or all of them, back into the queue.
+func (s *Server) releaseJob(handle string) string {
 	switch {
-	case s.keeper == nil:
+	case s.scheduler == nil:
 		return errNoStore
 	case handle == "":
-		return fmt.Sprintf(errArgs, "release")
+		return fmt.Sprintf(errInvalidArguments, "release")
 	case handle == "all":
-		n, err := s.keeper.ReleaseAll()
+		n, err := s.scheduler.ReleaseAll()
 		if err != nil {
-			return fmt.Sprintf(errStoreFailed, plus(err))
+			return fmt.Sprintf(errStore, plusEncoded(err))
 		}
 		return fmt.Sprintf("OK %d\r\n", n)
 	}
-	return storeAnswer(s.keeper.Release(handle))
+	return storeResponse(s.scheduler.Release(handle))
 }
 
-// storeAnswer words what came of a change of one job. One that is not on disk has not happened.
-func storeAnswer(err error) string {
+// storeResponse returns the response to a change of one stored job. After an error the change is
+// not on disk and has not taken effect.
+func storeResponse(err error) string {
 	switch {
 	case errors.Is(err, jobstore.ErrUnknown):
-		return errJob
+		return errUnknownJob
 	case err != nil:
-		return fmt.Sprintf(errStoreFailed, plus(err))
+		return fmt.Sprintf(errStore, plusEncoded(err))
 	}
 	return textOK
 }
 
-// storeStatus tells how the job store is, a figure a line.
+// storeStatus lists the state of the job store, one value a line.
 func (s *Server) storeStatus() string {
-	if s.keeper == nil {
+	if s.scheduler == nil {
 		return errNoStore
 	}
-	c, k := s.keeper.Store().Counts(), s.keeper.Counts()
+	storeCounts, totals := s.scheduler.Store().Counts(), s.scheduler.Counts()
 	state := "well"
-	if err := s.keeper.Admit(0); err != nil {
-		state = plus(err)
+	if err := s.scheduler.Admit(0); err != nil {
+		state = plusEncoded(err)
 	}
 	return fmt.Sprintf("state\t%s\r\njobs\t%d\r\ndead\t%d\r\ndamaged\t%d\r\nbytes\t%d\r\nfile\t%d\r\nfree\t%d\r\ncommits\t%d\r\nwrites\t%d\r\n"+
 		"offered\t%d\r\nserved\t%d\r\nretried\t%d\r\nburied\t%d\r\nwindow\t%d\r\ncuts\t%d\r\n",
-		state, c.Jobs, c.Dead, c.Damaged, c.Bytes, c.File, c.Free, c.Commits, c.Writes,
-		k.Offered, k.Served, k.Retried, k.DeadLettered, k.Window, k.Cuts) + textEnd
+		state, storeCounts.Jobs, storeCounts.Dead, storeCounts.Damaged, storeCounts.Bytes,
+		storeCounts.File, storeCounts.Free, storeCounts.Commits, storeCounts.Writes,
+		totals.Offered, totals.Served, totals.Retried, totals.DeadLettered, totals.Window, totals.Cuts) + textEnd
 }
 
-// maxqueue bounds a function's jobs. gearmand takes a bound for each priority; the first counts,
-// since there is one queue.
-func (s *Server) maxqueue(f []string) string {
-	if len(f) < 2 {
-		return fmt.Sprintf(errArgs, "maxqueue")
+// setMaxQueue limits the open jobs of a function. In gearmand the command takes a limit for each
+// priority; here the first one applies, since there is one queue.
+func (s *Server) setMaxQueue(words []string) string {
+	if len(words) < 2 {
+		return fmt.Sprintf(errInvalidArguments, "maxqueue")
 	}
 	n := 0
-	if len(f) > 2 {
+	if len(words) > 2 {
 		var err error
-		if n, err = strconv.Atoi(f[2]); err != nil {
-			return fmt.Sprintf(errArgs, "maxqueue")
+		if n, err = strconv.Atoi(words[2]); err != nil {
+			return fmt.Sprintf(errInvalidArguments, "maxqueue")
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.file.Functions[f[1]]; !ok {
+	if _, ok := s.config.Functions[words[1]]; !ok {
 		return errNoFunction
 	}
-	s.book.SetMaxQueue(f[1], max(0, n))
+	s.index.SetMaxQueue(words[1], max(0, n))
 	return textOK
 }
 
-// create takes a dropped function up again. A function is a class of the settings: no other can
-// be made.
-func (s *Server) create(name string) string {
+// createFunction makes a dropped function accept jobs again. Functions are defined in the settings,
+// so no others can be created.
+func (s *Server) createFunction(name string) string {
 	if name == "" {
-		return fmt.Sprintf(errArgs, "create+function")
+		return fmt.Sprintf(errInvalidArguments, "create+function")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.file.Functions[name]; !ok {
-		return fmt.Sprintf(errCreate, plus(errors.New(oneLine(name))))
+	if _, ok := s.config.Functions[name]; !ok {
+		return fmt.Sprintf(errCreateFunction, plusEncoded(errors.New(replaceControls(name))))
 	}
-	delete(s.dropped, name)
+	delete(s.droppedFunctions, name)
 	return textOK
 }
 
-// drop makes a function that has no jobs take none until it is created again.
-func (s *Server) drop(name string) string {
+// dropFunction makes a function without jobs reject jobs until it is created again.
+func (s *Server) dropFunction(name string) string {
 	if name == "" {
-		return fmt.Sprintf(errArgs, "drop+function")
+		return fmt.Sprintf(errInvalidArguments, "drop+function")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.file.Functions[name]; !ok || s.dropped[name] {
+	if _, ok := s.config.Functions[name]; !ok || s.droppedFunctions[name] {
 		return errNoFunction
 	}
-	if open, _ := s.book.Counts(name); open > 0 || s.waiting(name) > 0 {
-		return errInUse
+	if open, _ := s.index.Counts(name); open > 0 || s.storedCount(name) > 0 {
+		return errFunctionInUse
 	}
-	s.dropped[name] = true
+	s.droppedFunctions[name] = true
 	return textOK
 }
 
-// plus words an error as the text protocol does: one word, with + for blanks.
-func plus(err error) string { return strings.Join(strings.Fields(oneLine(err.Error())), "+") }
+// plusEncoded returns an error's text as one word, with + for spaces as in gearmand's error texts.
+func plusEncoded(err error) string {
+	return strings.Join(strings.Fields(replaceControls(err.Error())), "+")
+}
 
-// oneLine keeps a client's text from breaking the list that it stands in.
-func oneLine(s string) string {
+// replaceControls replaces control characters in text from a client, which could break up a list.
+func replaceControls(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return '?'
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -12,8 +12,8 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// Workers carries attempts to Gearman job servers, whose client it is. It implements
-// dispatch.Workers. A connection carries one job at a time, and is closed to give a job up.
+// Workers sends attempts to workers that are Gearman job servers, as their client. It implements
+// dispatch.Driver. A connection carries one job at a time, and is closed to cancel the job.
 type Workers struct {
 	core     *dispatch.Core
 	log      *slog.Logger
@@ -24,34 +24,34 @@
 	list     []dispatch.Worker
 }
 
-// NewWorkers returns a driver that holds at most so many connections.
-func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.DialFunc, most int) *Workers {
-	s := core.Settings()
+// NewWorkers returns a driver that holds at most maxConnections connections to workers.
+func NewWorkers(core *dispatch.Core, log *slog.Logger, dial link.DialFunc, maxConnections int) *Workers {
+	settings := core.Settings()
 	return &Workers{core: core, log: log, attempts: map[*dispatch.Attempt]context.CancelFunc{},
-		pool: link.NewPool(dial, NewResponseFramer, s.ConnectTimeout, s.ConnIdleTimeout, most)}
+		pool: link.NewPool(dial, NewResponseFramer, settings.ConnectTimeout, settings.ConnIdleTimeout, maxConnections)}
 }
 
-// Run keeps the pool tidy until the context ends.
-func (r *Workers) Run(ctx context.Context) { r.pool.Sweep(ctx) }
+// Run closes idle connections until the context ends.
+func (w *Workers) Run(ctx context.Context) { w.pool.Sweep(ctx) }
 
-// UpdateMembers closes idle connections to workers that are gone.
-func (r *Workers) UpdateMembers(list []dispatch.Worker) {
-	r.serving.Set(list)
-	r.mu.Lock()
-	r.list = list
-	r.mu.Unlock()
+// UpdateMembers sets the list of workers and closes idle connections to those not in it.
+func (w *Workers) UpdateMembers(list []dispatch.Worker) {
+	w.serving.Set(list)
+	w.mu.Lock()
+	w.list = list
+	w.mu.Unlock()
 	listed := map[string]bool{}
 	for _, worker := range list {
 		listed[worker.Addr] = true
 	}
-	r.pool.CloseIdleExcept(listed)
+	w.pool.CloseIdleExcept(listed)
 }
 
-// Serving returns the workers that take new attempts.
-func (r *Workers) Serving() (serving []dispatch.Worker) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, worker := range r.list {
+// Serving returns the workers that accept new attempts.
+func (w *Workers) Serving() (serving []dispatch.Worker) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, worker := range w.list {
 		if worker.State == balance.Serving {
 			serving = append(serving, worker)
 		}
@@ -59,130 +59,132 @@
 	return serving
 }
 
-// Start carries an attempt to its worker.
-func (r *Workers) Start(t *dispatch.Attempt) {
-	ctx, stop := context.WithCancel(context.Background())
-	r.mu.Lock()
-	r.attempts[t] = stop
-	r.mu.Unlock()
+// Start sends an attempt to its worker and reports its end to the core.
+func (w *Workers) Start(attempt *dispatch.Attempt) {
+	ctx, cancel := context.WithCancel(context.Background())
+	w.mu.Lock()
+	w.attempts[attempt] = cancel
+	w.mu.Unlock()
 	go func() {
-		defer stop()
-		status, result := r.carry(ctx, t)
-		r.mu.Lock()
-		delete(r.attempts, t)
-		r.mu.Unlock()
-		t.Request.Payload.(*job).ended(status)
-		r.core.AttemptEnded(t, status, result)
+		defer cancel()
+		status, result := w.runAttempt(ctx, attempt)
+		w.mu.Lock()
+		delete(w.attempts, attempt)
+		w.mu.Unlock()
+		attempt.Request.Payload.(*job).attemptEnded(status)
+		w.core.AttemptEnded(attempt, status, result)
 	}()
 }
 
-// Cancel gives an attempt up by closing its connection.
-func (r *Workers) Cancel(t *dispatch.Attempt) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if stop := r.attempts[t]; stop != nil {
-		stop()
+// Cancel cancels an attempt by closing its connection.
+func (w *Workers) Cancel(attempt *dispatch.Attempt) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if cancel := w.attempts[attempt]; cancel != nil {
+		cancel()
 	}
 }
 
-// carry takes one attempt through its exchange. Nothing ran if no connection came up,
-// or if it broke before the packet's last byte was written, or if the server answered with
-// an ERROR in place of JOB_CREATED; after anything else it may have. Nothing is sent again
-// here: a repeat is the balancer's to decide.
-func (r *Workers) carry(ctx context.Context, t *dispatch.Attempt) (balance.Status, []byte) {
-	j := t.Request.Payload.(*job)
-	conn, err := r.pool.Get(ctx, t.Worker.Addr)
+// runAttempt runs one attempt: it connects, sends the job and receives the result. The job did not
+// run if no connection was established, if the connection broke before the packet's last byte was
+// written, or if the server answered ERROR in place of JOB_CREATED; in every other case it may have
+// run. Nothing is resent here: the balancer decides about retries.
+func (w *Workers) runAttempt(ctx context.Context, attempt *dispatch.Attempt) (balance.Status, []byte) {
+	j := attempt.Request.Payload.(*job)
+	conn, err := w.pool.Get(ctx, attempt.Worker.Addr)
 	if err != nil {
-		if ctx.Err() != nil { // given up before anything was sent
+		if ctx.Err() != nil { // cancelled before anything was sent
 			return balance.StatusNotSent, nil
 		}
-		r.logAttempt(t, "worker unreachable", err)
+		w.logAttempt(attempt, "worker unreachable", err)
 		return balance.StatusUnreachable, nil
 	}
-	keep := false
+	reusable := false
 	defer func() {
-		if keep {
-			r.pool.Put(conn)
+		if reusable {
+			w.pool.Put(conn)
 		} else {
 			_ = conn.Close()
 		}
 	}()
-	if ctx.Err() != nil || !r.serving.Accepts(t.Worker.ID) { // given up, or drained since it was chosen
-		keep = true
+	if ctx.Err() != nil || !w.serving.Accepts(attempt.Worker.ID) { // cancelled, or the worker began to drain after it was chosen
+		reusable = true
 		return balance.StatusNotSent, nil
 	}
-	if err := j.sending(ctx, t); err != nil { // a stored job that is sent unwritten could be sent twice after a crash
-		keep = true
+	if err := j.recordSend(ctx, attempt); err != nil { // without the record on disk a stored job could be sent twice after a crash
+		reusable = true
 		if ctx.Err() == nil {
-			r.logAttempt(t, "not sent", err)
+			w.logAttempt(attempt, "attempt not sent, since it was not recorded in the job store", err)
 		}
 		return balance.StatusNotSent, nil
 	}
-	t.RecordEvent(dispatch.Connected)
+	attempt.RecordEvent(dispatch.Connected)
 	data := Request(SubmitJob, j.function, j.unique, j.data)
 	if n, err := link.WriteWithTimeout(conn, data); n < len(data) {
-		r.logAttempt(t, "request cut short", err)
+		w.logAttempt(attempt, "request not fully sent; the attempt did not run", err)
 		return balance.StatusUnreachable, nil
 	}
-	t.RecordEvent(dispatch.Written)
+	attempt.RecordEvent(dispatch.Written)
 	var status balance.Status
 	var result []byte
-	status, result, keep = r.receive(ctx, t, conn)
+	status, result, reusable = w.receive(ctx, attempt, conn)
 	return status, result
 }
 
-// receive takes a job server's packets up to the job's end. keep tells whether the connection may be
-// used again.
-func (r *Workers) receive(ctx context.Context, t *dispatch.Attempt, conn *link.PoolConn[Packet]) (status balance.Status, result []byte, keep bool) {
-	x := exchange{started: func() { r.core.AttemptStarted(t) }, progress: func(s float64) { r.core.AttemptProgress(t, s) }}
+// receive reads the job server's packets up to the end of the job. The result reusable tells
+// whether the connection may carry another job.
+func (w *Workers) receive(ctx context.Context, attempt *dispatch.Attempt,
+	conn *link.PoolConn[Packet]) (status balance.Status, result []byte, reusable bool) {
+	ex := exchange{onStarted: func() { w.core.AttemptStarted(attempt) },
+		onProgress: func(s float64) { w.core.AttemptProgress(attempt, s) }}
 	for {
 		p, err := conn.Receive(ctx)
 		if err != nil {
 			if ctx.Err() != nil {
 				return balance.StatusCancelled, nil, false
 			}
-			r.logAttempt(t, "worker reset", err)
+			w.logAttempt(attempt, "no response from the worker; the attempt may have run", err)
 			return balance.StatusReset, nil, false
 		}
-		status, over, err := x.take(p)
-		if x.handle != "" {
-			t.RecordEvent(dispatch.Accepted)
+		status, ended, err := ex.handlePacket(p)
+		if ex.handle != "" {
+			attempt.RecordEvent(dispatch.Accepted)
 		}
 		if err != nil {
-			r.log.Warn("worker answered", "worker", t.Worker.Name, "id", t.Request.ID, "err", err)
+			w.log.Warn("worker answered with an error", "worker", attempt.Worker.Name, "id", attempt.Request.ID, "err", err)
 		}
-		if !over {
+		if !ended {
 			continue
 		}
-		if x.exception != nil {
-			j := t.Request.Payload.(*job)
+		if ex.exception != nil {
+			j := attempt.Request.Payload.(*job)
 			j.mu.Lock()
-			j.exception = x.exception
+			j.exception = ex.exception
 			j.mu.Unlock()
 		}
-		return status, x.result, err == nil && x.exception == nil // a WORK_FAIL may follow, which answers nothing then
+		return status, ex.result, err == nil && ex.exception == nil // after WORK_EXCEPTION a WORK_FAIL may still follow
 	}
 }
 
-func (r *Workers) logAttempt(t *dispatch.Attempt, what string, err error) {
-	r.log.Info(what, "worker", t.Worker.Name, "id", t.Request.ID, "err", err)
+func (w *Workers) logAttempt(attempt *dispatch.Attempt, message string, err error) {
+	w.log.Info(message, "worker", attempt.Worker.Name, "id", attempt.Request.ID, "err", err)
 }
 
-// exchange is the client's state machine for one job: it is fed packets and knows no
-// socket.
+// exchange is the client's state machine for one job. It is given the packets received and does
+// no I/O.
 type exchange struct {
-	handle    string // empty until JOB_CREATED
-	begun     bool
-	result    []byte // the parts of it, see eachPart
-	exception []byte
-	started   func()
-	progress  func(share float64)
+	handle     string // empty until JOB_CREATED
+	started    bool   // onStarted has been called
+	result     []byte // encoded by appendResultPart
+	exception  []byte
+	onStarted  func()
+	onProgress func(share float64)
 }
 
-// take takes the server's next packet. At the end it tells what became of the job; an
-// error says that the server breaks the protocol or reports a fault of its own, and that
-// the connection is not to be used again.
-func (x *exchange) take(p *Packet) (status balance.Status, over bool, err error) {
+// handlePacket handles the server's next packet. When the job has ended, ended is true and status
+// is its outcome. An error means that the server violated the protocol or answered ERROR, and that
+// the connection must not be used again.
+func (x *exchange) handlePacket(p *Packet) (status balance.Status, ended bool, err error) {
 	if x.handle == "" {
 		switch p.Type {
 		case JobCreated:
@@ -190,36 +192,36 @@
 				return balance.StatusError, true, errors.New("JOB_CREATED without a handle")
 			}
 			return 0, false, nil
-		case Error: // it has not made a job of it
+		case Error: // the server did not accept the job
 			return balance.StatusFull, true, errors.New("ERROR: " + printable(p.Body))
 		}
-		return balance.StatusError, true, errors.New("no JOB_CREATED but packet type " + strconv.Itoa(int(p.Type)))
+		return balance.StatusError, true, errors.New("expected JOB_CREATED, got packet type " + strconv.Itoa(int(p.Type)))
 	}
 	if p.Type == Error {
 		return balance.StatusError, true, errors.New("ERROR: " + printable(p.Body))
 	}
-	n := 2
+	argCount := 2
 	switch p.Type {
 	case WorkFail:
-		n = 1
+		argCount = 1
 	case WorkStatus:
-		n = 3
+		argCount = 3
 	}
-	args, err := p.Args(n)
+	args, err := p.Args(argCount)
 	if err != nil {
 		return balance.StatusError, true, err
 	}
 	if string(args[0]) != x.handle {
-		return balance.StatusError, true, errors.New("a packet of another job: " + printable(args[0]))
+		return balance.StatusError, true, errors.New("packet for another job: " + printable(args[0]))
 	}
 	switch p.Type {
 	case WorkStatus:
-		x.status(args[1], args[2])
-	case WorkData, WorkWarning, WorkComplete: // kept until the end: of a job that runs twice one run answers
-		if len(x.result)+len(args[1]) > maxBody {
-			return balance.StatusError, true, errSize
+		x.handleStatus(args[1], args[2])
+	case WorkData, WorkWarning, WorkComplete: // kept until the job ends: if the job runs twice, only one of the results is used
+		if len(x.result)+len(args[1]) > maxBodyBytes {
+			return balance.StatusError, true, errPacketTooLarge
 		}
-		if x.result = appendPart(x.result, p.Type, args[1]); p.Type == WorkComplete {
+		if x.result = appendResultPart(x.result, p.Type, args[1]); p.Type == WorkComplete {
 			return balance.StatusOK, true, nil
 		}
 	case WorkException:
@@ -228,21 +230,21 @@
 	case WorkFail:
 		return balance.StatusError, true, nil
 	default:
-		return balance.StatusError, true, errors.New("packet type " + strconv.Itoa(int(p.Type)))
+		return balance.StatusError, true, errors.New("unexpected packet type " + strconv.Itoa(int(p.Type)))
 	}
 	return 0, false, nil
 }
 
-// status takes a WORK_STATUS: the first tells that the job runs.
-func (x *exchange) status(numerator, denominator []byte) {
-	if !x.begun {
-		x.begun = true
-		x.started()
+// handleStatus handles a WORK_STATUS. The first one means that the job has started.
+func (x *exchange) handleStatus(numerator, denominator []byte) {
+	if !x.started {
+		x.started = true
+		x.onStarted()
 	}
 	done, err1 := strconv.ParseFloat(string(numerator), 64)
-	all, err2 := strconv.ParseFloat(string(denominator), 64)
-	if err1 == nil && err2 == nil && done > 0 && all >= done {
-		x.progress(done / all)
+	total, err2 := strconv.ParseFloat(string(denominator), 64)
+	if err1 == nil && err2 == nil && done > 0 && total >= done {
+		x.onProgress(done / total)
 	}
 }
 
--- a/internal/jobindex/index.go
+++ b/internal/jobindex/index.go
@@ -1,6 +1,7 @@
-// Package jobindex keeps the open jobs of a job server and who waits for each: it decides which
-// submissions are one job, when a job is given up, and what is too much. It does no I/O, knows
-// no clock, and is not safe for concurrent use.
+// Package jobindex keeps the open jobs of a job server and the clients that wait for each. It
+// decides which submissions share a job, when a job is cancelled because its last client left, and
+// which submissions exceed a limit. It does no I/O, uses no clock, and is not safe for concurrent
+// use.
 package jobindex
 
 import (
@@ -8,15 +9,15 @@
 	"slices"
 )
 
-// Limits bound what the book holds; 0 is no bound.
+// Limits bound the contents of an Index; 0 is no limit.
 type Limits struct {
-	PerClient   int            // submissions without a final answer, by client
+	PerClient   int            // submissions of one client without a final answer
 	Jobs        int            // open jobs
-	Bytes       int            // of the data of open jobs
-	PerFunction map[string]int // open jobs by function; 0 is no bound
+	Bytes       int            // total data of open jobs
+	PerFunction map[string]int // open jobs of each function
 }
 
-// The reasons for which a submission is turned away.
+// The reasons for rejecting a submission.
 var (
 	ErrClientLimit   = errors.New("too many jobs are open on this connection")
 	ErrJobLimit      = errors.New("too many jobs are open")
@@ -24,260 +25,265 @@
 	ErrFunctionLimit = errors.New("the function's queue is full")
 )
 
-// Job is one open job. The exported fields are the book's to change, but for Payload.
+// Job is one open job. Only the Index may change the exported fields, except for Payload.
 type Job[W comparable] struct {
 	Handle             string
 	Function           string
-	Unique             string // empty where the job is never shared
-	Size               int    // bytes of data held for it
-	Background         bool   // it goes on without any waiter
+	Unique             string // empty if the job is never shared
+	Size               int    // bytes of its data
+	Background         bool   // it stays open without waiters
 	Running            bool
-	Progress           float64 // done, 0 to 1
-	WaitingSubmissions int     // submissions that wait for its final answer
-	Payload            any     // the server's own
+	Progress           float64 // fraction done, from 0 to 1
+	WaitingSubmissions int     // submissions without a final answer
+	Payload            any     // for use by the server
 
-	waiters map[W]int
+	waiters map[W]int // submissions of each client
 	closed  bool
 }
 
 type key struct{ function, unique string }
 
-// Index holds open jobs. W is a client's connection.
+// Index holds the open jobs. W identifies a client connection.
 type Index[W comparable] struct {
 	limits    Limits
 	byHandle  map[string]*Job[W]
 	byKey     map[key]*Job[W]
 	byUnique  map[string][]*Job[W]
 	clients   map[W]map[*Job[W]]int
-	submitted map[W]int
-	functions map[string]*count
-	bytes     int
+	submitted map[W]int // submissions of each client without a final answer
+	functions map[string]*functionCounts
+	bytes     int // total data of open jobs
 }
 
-type count struct{ open, running, background int }
+// functionCounts holds the numbers of jobs of one function.
+type functionCounts struct{ open, running, background int }
 
-// New returns an empty book.
-func New[W comparable](l Limits) *Index[W] {
-	if l.PerFunction == nil {
-		l.PerFunction = map[string]int{}
+// New returns an empty Index.
+func New[W comparable](limits Limits) *Index[W] {
+	if limits.PerFunction == nil {
+		limits.PerFunction = map[string]int{}
 	}
-	return &Index[W]{limits: l, byHandle: map[string]*Job[W]{}, byKey: map[key]*Job[W]{}, byUnique: map[string][]*Job[W]{},
-		clients: map[W]map[*Job[W]]int{}, submitted: map[W]int{}, functions: map[string]*count{}}
+	return &Index[W]{limits: limits, byHandle: map[string]*Job[W]{}, byKey: map[key]*Job[W]{}, byUnique: map[string][]*Job[W]{},
+		clients: map[W]map[*Job[W]]int{}, submitted: map[W]int{}, functions: map[string]*functionCounts{}}
 }
 
-// SetMaxQueue bounds a function's open jobs from now on; 0 is no bound. Jobs that are open
-// beyond it stay.
-func (b *Index[W]) SetMaxQueue(function string, n int) { b.limits.PerFunction[function] = n }
+// SetMaxQueue limits the open jobs of a function; 0 is no limit. Jobs that are already open stay
+// open, even beyond the new limit.
+func (ix *Index[W]) SetMaxQueue(function string, n int) { ix.limits.PerFunction[function] = n }
 
-// ByHandle returns the open job of a handle, or nil.
-func (b *Index[W]) ByHandle(handle string) *Job[W] { return b.byHandle[handle] }
+// ByHandle returns the open job with a handle, or nil.
+func (ix *Index[W]) ByHandle(handle string) *Job[W] { return ix.byHandle[handle] }
 
-// ByKey returns the open job that a submission of the function and unique id is part of, or nil.
-func (b *Index[W]) ByKey(function, unique string) *Job[W] {
+// ByKey returns the open job with a function and unique ID, which a new submission of both joins,
+// or nil.
+func (ix *Index[W]) ByKey(function, unique string) *Job[W] {
 	if unique == "" {
 		return nil
 	}
-	return b.byKey[key{function, unique}]
+	return ix.byKey[key{function, unique}]
 }
 
-// ByUniqueID returns the first open job of a unique id, of whichever function, or nil.
-func (b *Index[W]) ByUniqueID(unique string) *Job[W] {
-	if jobs := b.byUnique[unique]; unique != "" && len(jobs) > 0 {
+// ByUniqueID returns the first open job with a unique ID, of any function, or nil.
+func (ix *Index[W]) ByUniqueID(unique string) *Job[W] {
+	if jobs := ix.byUnique[unique]; unique != "" && len(jobs) > 0 {
 		return jobs[0]
 	}
 	return nil
 }
 
-// CheckJoin tells whether a client may have one more submission without a final answer.
-func (b *Index[W]) CheckJoin(w W) error {
-	if b.limits.PerClient > 0 && b.submitted[w] >= b.limits.PerClient {
+// CheckJoin returns an error if a client has as many submissions without a final answer as the
+// limit allows.
+func (ix *Index[W]) CheckJoin(w W) error {
+	if ix.limits.PerClient > 0 && ix.submitted[w] >= ix.limits.PerClient {
 		return ErrClientLimit
 	}
 	return nil
 }
 
-// CheckOpen tells whether one more job of the size may be opened. stored is how many more jobs
-// of the function are kept elsewhere and count too; background jobs that are open are among them.
-func (b *Index[W]) CheckOpen(function string, size, stored int) error {
+// CheckOpen returns an error if a new job of the given size would exceed a limit. stored is the
+// number of jobs of the function in the job store, which count towards its limit. They include the
+// open background jobs.
+func (ix *Index[W]) CheckOpen(function string, size, stored int) error {
 	open := 0
-	if c := b.functions[function]; c != nil {
+	if c := ix.functions[function]; c != nil {
 		open = c.open - c.background
 	}
-	switch most := b.limits.PerFunction[function]; {
-	case most > 0 && open+stored >= most:
+	switch limit := ix.limits.PerFunction[function]; {
+	case limit > 0 && open+stored >= limit:
 		return ErrFunctionLimit
-	case b.limits.Jobs > 0 && len(b.byHandle) >= b.limits.Jobs:
+	case ix.limits.Jobs > 0 && len(ix.byHandle) >= ix.limits.Jobs:
 		return ErrJobLimit
-	case b.limits.Bytes > 0 && b.bytes+size > b.limits.Bytes:
+	case ix.limits.Bytes > 0 && ix.bytes+size > ix.limits.Bytes:
 		return ErrByteLimit
 	}
 	return nil
 }
 
-// Open adds a job. The handle and, where it has one, the function with the unique id must not
-// be open.
-func (b *Index[W]) Open(handle, function, unique string, size int, background bool) *Job[W] {
-	j := &Job[W]{Handle: handle, Function: function, Unique: unique, Size: size, waiters: map[W]int{}}
-	b.byHandle[handle] = j
+// Open adds a job. No open job may have the same handle, or the same function and unique ID if
+// unique is not empty.
+func (ix *Index[W]) Open(handle, function, unique string, size int, background bool) *Job[W] {
+	job := &Job[W]{Handle: handle, Function: function, Unique: unique, Size: size, waiters: map[W]int{}}
+	ix.byHandle[handle] = job
 	if unique != "" {
-		b.byKey[key{function, unique}] = j
-		b.byUnique[unique] = append(b.byUnique[unique], j)
+		ix.byKey[key{function, unique}] = job
+		ix.byUnique[unique] = append(ix.byUnique[unique], job)
 	}
-	c := b.functions[function]
+	c := ix.functions[function]
 	if c == nil {
-		c = &count{}
-		b.functions[function] = c
+		c = &functionCounts{}
+		ix.functions[function] = c
 	}
 	c.open++
-	b.bytes += size
-	b.SetBackground(j, background)
-	return j
+	ix.bytes += size
+	ix.SetBackground(job, background)
+	return job
 }
 
-// SetBackground makes a job go on without any waiter, or not.
-func (b *Index[W]) SetBackground(j *Job[W], background bool) {
-	if c := b.functions[j.Function]; background && !j.Background {
+// SetBackground sets whether a job stays open without waiters.
+func (ix *Index[W]) SetBackground(job *Job[W], background bool) {
+	if c := ix.functions[job.Function]; background && !job.Background {
 		c.background++
-	} else if !background && j.Background {
+	} else if !background && job.Background {
 		c.background--
 	}
-	j.Background = background
+	job.Background = background
 }
 
-// DetachWaiters returns a job's waiters, each with the number of its submissions, who wait no longer.
+// DetachWaiters removes a job's waiters and returns them, each with the number of its submissions.
 // The job stays open.
-func (b *Index[W]) DetachWaiters(j *Job[W]) map[W]int {
-	for w, n := range j.waiters {
-		b.drop(j, w, n)
+func (ix *Index[W]) DetachWaiters(job *Job[W]) map[W]int {
+	for w, n := range job.waiters {
+		ix.removeSubmissions(job, w, n)
 	}
-	waiters := j.waiters
-	j.waiters, j.WaitingSubmissions = map[W]int{}, 0
+	waiters := job.waiters
+	job.waiters, job.WaitingSubmissions = map[W]int{}, 0
 	return waiters
 }
 
-// Join makes a client wait for a job, once more for each of its submissions.
-func (b *Index[W]) Join(j *Job[W], w W) {
-	j.waiters[w]++
-	j.WaitingSubmissions++
-	if b.clients[w] == nil {
-		b.clients[w] = map[*Job[W]]int{}
+// Join adds one submission of a client to the waiters of a job.
+func (ix *Index[W]) Join(job *Job[W], w W) {
+	job.waiters[w]++
+	job.WaitingSubmissions++
+	if ix.clients[w] == nil {
+		ix.clients[w] = map[*Job[W]]int{}
 	}
-	b.clients[w][j]++
-	b.submitted[w]++
+	ix.clients[w][job]++
+	ix.submitted[w]++
 }
 
-// SubmissionCount is how many submissions of a client have no final answer.
-func (b *Index[W]) SubmissionCount(w W) int { return b.submitted[w] }
+// SubmissionCount returns how many submissions of a client have no final answer.
+func (ix *Index[W]) SubmissionCount(w W) int { return ix.submitted[w] }
 
-// SetProgress notes how far a job is, and tells whether that is news: copies of one job tell of
-// theirs too, and only an advance counts.
-func (b *Index[W]) SetProgress(j *Job[W], share float64) bool {
-	if j.closed {
+// SetProgress marks a job as running and records its progress. It reports whether that is the first
+// progress or an advance: several copies of a job may report progress, and only an advance counts.
+func (ix *Index[W]) SetProgress(job *Job[W], share float64) bool {
+	if job.closed {
 		return false
 	}
-	news := !j.Running || share > j.Progress
-	if !j.Running {
-		j.Running = true
-		b.functions[j.Function].running++
+	advanced := !job.Running || share > job.Progress
+	if !job.Running {
+		job.Running = true
+		ix.functions[job.Function].running++
 	}
-	j.Progress = max(j.Progress, share)
-	return news
+	job.Progress = max(job.Progress, share)
+	return advanced
 }
 
-// SetQueued notes that a job is not running any more and waits to be tried again.
-func (b *Index[W]) SetQueued(j *Job[W]) {
-	if !j.closed && j.Running {
-		b.functions[j.Function].running--
+// SetQueued records that a job is no longer running and waits for a retry.
+func (ix *Index[W]) SetQueued(job *Job[W]) {
+	if !job.closed && job.Running {
+		ix.functions[job.Function].running--
 	}
-	j.Running, j.Progress = false, 0
+	job.Running, job.Progress = false, 0
 }
 
-// EachWaiter calls f for every submission that waits for a job.
-func (j *Job[W]) EachWaiter(f func(w W)) {
-	for w, n := range j.waiters {
+// EachWaiter calls f for the waiting client of each submission.
+func (job *Job[W]) EachWaiter(f func(w W)) {
+	for w, n := range job.waiters {
 		for range n {
 			f(w)
 		}
 	}
 }
 
-// Close ends a job and returns its waiters, each with the number of its submissions. A second
-// call returns none: a job has one end.
-func (b *Index[W]) Close(j *Job[W]) map[W]int {
-	if j.closed {
+// Close removes a job and returns its waiters, each with the number of its submissions. A second
+// call returns nil.
+func (ix *Index[W]) Close(job *Job[W]) map[W]int {
+	if job.closed {
 		return nil
 	}
-	b.SetQueued(j)
-	b.SetBackground(j, false)
-	j.closed = true
-	delete(b.byHandle, j.Handle)
-	if j.Unique != "" {
-		delete(b.byKey, key{j.Function, j.Unique})
-		if left := slices.DeleteFunc(b.byUnique[j.Unique], func(o *Job[W]) bool { return o == j }); len(left) > 0 {
-			b.byUnique[j.Unique] = left
+	ix.SetQueued(job)
+	ix.SetBackground(job, false)
+	job.closed = true
+	delete(ix.byHandle, job.Handle)
+	if job.Unique != "" {
+		delete(ix.byKey, key{job.Function, job.Unique})
+		if others := slices.DeleteFunc(ix.byUnique[job.Unique], func(other *Job[W]) bool { return other == job }); len(others) > 0 {
+			ix.byUnique[job.Unique] = others
 		} else {
-			delete(b.byUnique, j.Unique)
+			delete(ix.byUnique, job.Unique)
 		}
 	}
-	if c := b.functions[j.Function]; c.open > 1 {
+	if c := ix.functions[job.Function]; c.open > 1 {
 		c.open--
 	} else {
-		delete(b.functions, j.Function)
+		delete(ix.functions, job.Function)
 	}
-	b.bytes -= j.Size
-	return b.DetachWaiters(j)
+	ix.bytes -= job.Size
+	return ix.DetachWaiters(job)
 }
 
-func (b *Index[W]) drop(j *Job[W], w W, n int) {
-	delete(b.clients[w], j)
-	if b.submitted[w] -= n; b.submitted[w] <= 0 {
-		delete(b.submitted, w)
-		delete(b.clients, w)
+// removeSubmissions removes n submissions of a client from its counts.
+func (ix *Index[W]) removeSubmissions(job *Job[W], w W, n int) {
+	delete(ix.clients[w], job)
+	if ix.submitted[w] -= n; ix.submitted[w] <= 0 {
+		delete(ix.submitted, w)
+		delete(ix.clients, w)
 	}
 }
 
-// RemoveClient forgets a client and closes the jobs that no one is left to wait for, which it returns:
-// they are given up. Background jobs go on; those that no one waits for any more it returns apart.
-func (b *Index[W]) RemoveClient(w W) (givenUp, unwatched []*Job[W]) {
-	for j, n := range b.clients[w] {
-		delete(j.waiters, w)
-		j.WaitingSubmissions -= n
+// RemoveClient removes a client. Foreground jobs without other waiters are closed and returned as
+// cancelled. Background jobs stay open; those without other waiters are returned as withoutWaiters.
+func (ix *Index[W]) RemoveClient(w W) (cancelled, withoutWaiters []*Job[W]) {
+	for job, n := range ix.clients[w] {
+		delete(job.waiters, w)
+		job.WaitingSubmissions -= n
 		switch {
-		case len(j.waiters) > 0:
-		case j.Background:
-			unwatched = append(unwatched, j)
+		case len(job.waiters) > 0:
+		case job.Background:
+			withoutWaiters = append(withoutWaiters, job)
 		default:
-			b.Close(j)
-			givenUp = append(givenUp, j)
+			ix.Close(job)
+			cancelled = append(cancelled, job)
 		}
 	}
-	delete(b.clients, w)
-	delete(b.submitted, w)
-	return givenUp, unwatched
+	delete(ix.clients, w)
+	delete(ix.submitted, w)
+	return cancelled, withoutWaiters
 }
 
-// Counts is how many jobs of a function are open, and how many of these run.
-func (b *Index[W]) Counts(function string) (open, running int) {
-	if c := b.functions[function]; c != nil {
+// Counts returns how many jobs of a function are open, and how many of these are running.
+func (ix *Index[W]) Counts(function string) (open, running int) {
+	if c := ix.functions[function]; c != nil {
 		return c.open, c.running
 	}
 	return 0, 0
 }
 
-// BackgroundCount is how many open jobs of a function go on without a waiter.
-func (b *Index[W]) BackgroundCount(function string) int {
-	if c := b.functions[function]; c != nil {
+// BackgroundCount returns how many open jobs of a function are background jobs.
+func (ix *Index[W]) BackgroundCount(function string) int {
+	if c := ix.functions[function]; c != nil {
 		return c.background
 	}
 	return 0
 }
 
-// Jobs returns up to so many open jobs, all where most is negative, in the order of their handles' lengths and texts, which
-// is that of their numbers.
-func (b *Index[W]) Jobs(most int) []*Job[W] {
-	all := make([]*Job[W], 0, len(b.byHandle))
-	for _, j := range b.byHandle {
-		all = append(all, j)
+// Jobs returns up to limit open jobs, or all of them if limit is negative. They are sorted by the
+// length and then the text of their handles, which is the order of the numbers in the handles.
+func (ix *Index[W]) Jobs(limit int) []*Job[W] {
+	all := make([]*Job[W], 0, len(ix.byHandle))
+	for _, job := range ix.byHandle {
+		all = append(all, job)
 	}
 	slices.SortFunc(all, func(x, y *Job[W]) int {
 		if d := len(x.Handle) - len(y.Handle); d != 0 {
@@ -288,8 +294,8 @@
 		}
 		return 1
 	})
-	if most < 0 {
+	if limit < 0 {
 		return all
 	}
-	return all[:min(most, len(all))]
+	return all[:min(limit, len(all))]
 }
--- a/internal/jobindex/index_test.go
+++ b/internal/jobindex/index_test.go
@@ -10,30 +10,30 @@
 	_ "tinroute.example/tinroute/internal/seeded"
 )
 
-// Whatever clients do, the book's figures are those of a plain list of jobs and waiters, every
-// submission is answered once or its client has left, and a job is given up exactly when its
-// last waiter leaves and it is no background job.
-func TestBook(t *testing.T) {
+// Random operations on an Index are compared with a plain model of jobs and waiters. The counts
+// must match, every submission must be answered once unless its client has left, and a job must be
+// cancelled exactly when its last waiter leaves and it is not a background job.
+func TestIndexMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{PerClient: 5, Jobs: 8, Bytes: 100, PerFunction: map[string]int{"f": 4}}
-		b := New[int](limits)
-		type plain struct {
+		index := New[int](limits)
+		type modelJob struct {
 			job        *Job[int]
 			waiters    map[int]int
 			background bool
 		}
-		open := map[string]*plain{}
-		find := func(function, unique string) *plain {
-			for _, p := range open {
-				if unique != "" && p.job.Function == function && p.job.Unique == unique {
-					return p
+		open := map[string]*modelJob{}
+		find := func(function, unique string) *modelJob {
+			for _, model := range open {
+				if unique != "" && model.job.Function == function && model.job.Unique == unique {
+					return model
 				}
 			}
 			return nil
 		}
-		pick := func() *plain {
+		pick := func() *modelJob {
 			handles := make([]string, 0, len(open))
-			for _, j := range b.Jobs(-1) {
+			for _, j := range index.Jobs(-1) {
 				handles = append(handles, j.Handle)
 			}
 			if len(handles) == 0 {
@@ -47,18 +47,18 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1: // a submission
 				function, unique := rapid.SampledFrom([]string{"f", "g"}).Draw(t, "function"), rapid.SampledFrom([]string{"", "u", "v"}).Draw(t, "unique")
-				waits := 0
-				for _, p := range open {
-					waits += p.waiters[w]
+				waiting := 0
+				for _, model := range open {
+					waiting += model.waiters[w]
 				}
-				require.Equal(t, waits, b.SubmissionCount(w))
-				if err := b.CheckJoin(w); waits >= limits.PerClient {
+				require.Equal(t, waiting, index.SubmissionCount(w))
+				if err := index.CheckJoin(w); waiting >= limits.PerClient {
 					require.ErrorIs(t, err, ErrClientLimit)
 					continue
 				}
-				p := find(function, unique)
-				require.Equal(t, p == nil, b.ByKey(function, unique) == nil)
-				if p == nil {
+				model := find(function, unique)
+				require.Equal(t, model == nil, index.ByKey(function, unique) == nil)
+				if model == nil {
 					size := rapid.IntRange(0, 40).Draw(t, "size")
 					count, bytes := 0, 0
 					for _, o := range open {
@@ -67,73 +67,73 @@
 							count++
 						}
 					}
-					err := b.CheckOpen(function, size, 0)
+					err := index.CheckOpen(function, size, 0)
 					require.Equal(t, function == "f" && count >= 4 || len(open) >= 8 || bytes+size > 100, err != nil, "%v", err)
 					if err != nil {
 						continue
 					}
 					n++
-					p = &plain{job: b.Open(fmt.Sprint("H", n), function, unique, size, false), waiters: map[int]int{}}
-					open[p.job.Handle] = p
+					model = &modelJob{job: index.Open(fmt.Sprint("H", n), function, unique, size, false), waiters: map[int]int{}}
+					open[model.job.Handle] = model
 				}
-				b.Join(p.job, w)
-				p.waiters[w]++
+				index.Join(model.job, w)
+				model.waiters[w]++
 			case 2: // a client leaves
-				gone := map[string]bool{}
-				for h, p := range open {
-					if p.waiters[w] > 0 {
-						delete(p.waiters, w)
-						if len(p.waiters) == 0 && !p.background {
-							gone[h] = true
+				mustCancel := map[string]bool{}
+				for h, model := range open {
+					if model.waiters[w] > 0 {
+						delete(model.waiters, w)
+						if len(model.waiters) == 0 && !model.background {
+							mustCancel[h] = true
 							delete(open, h)
 						}
 					}
 				}
-				givenUp, unwatched := b.RemoveClient(w)
-				for _, j := range unwatched {
+				cancelled, withoutWaiters := index.RemoveClient(w)
+				for _, j := range withoutWaiters {
 					require.True(t, j.Background)
 					require.Zero(t, j.WaitingSubmissions)
 				}
-				for _, j := range givenUp {
-					require.True(t, gone[j.Handle])
-					delete(gone, j.Handle)
-					require.Empty(t, b.Close(j), "it has ended")
+				for _, j := range cancelled {
+					require.True(t, mustCancel[j.Handle])
+					delete(mustCancel, j.Handle)
+					require.Empty(t, index.Close(j), "the job was already closed")
 				}
-				require.Empty(t, gone)
-			case 3: // an end
-				if p := pick(); p != nil {
-					require.Equal(t, p.waiters, b.Close(p.job))
-					require.Empty(t, b.Close(p.job), "one end")
-					delete(open, p.job.Handle)
+				require.Empty(t, mustCancel)
+			case 3: // a job ends
+				if model := pick(); model != nil {
+					require.Equal(t, model.waiters, index.Close(model.job))
+					require.Empty(t, index.Close(model.job), "a job is closed only once")
+					delete(open, model.job.Handle)
 				}
 			case 4: // a background job's offer ends without a result
-				if p := pick(); p != nil {
-					b.SetBackground(p.job, true)
-					p.background = true
-					require.Equal(t, p.waiters, b.DetachWaiters(p.job))
-					p.waiters = map[int]int{}
+				if model := pick(); model != nil {
+					index.SetBackground(model.job, true)
+					model.background = true
+					require.Equal(t, model.waiters, index.DetachWaiters(model.job))
+					model.waiters = map[int]int{}
 				}
 			case 5:
-				if p := pick(); p != nil {
+				if model := pick(); model != nil {
 					share := rapid.Float64Range(0, 1).Draw(t, "share")
-					before, running := p.job.Progress, p.job.Running
-					require.Equal(t, !running || share > before, b.SetProgress(p.job, share))
+					before, running := model.job.Progress, model.job.Running
+					require.Equal(t, !running || share > before, index.SetProgress(model.job, share))
 				}
 			}
 			for _, f := range []string{"f", "g"} {
 				jobs, running := 0, 0
-				for _, p := range open {
-					if p.job.Function == f {
+				for _, model := range open {
+					if model.job.Function == f {
 						jobs++
-						if p.job.Running {
+						if model.job.Running {
 							running++
 						}
 					}
 				}
-				gotJobs, gotRunning := b.Counts(f)
+				gotJobs, gotRunning := index.Counts(f)
 				require.Equal(t, []int{jobs, running}, []int{gotJobs, gotRunning})
 			}
-			require.Len(t, b.Jobs(-1), len(open))
+			require.Len(t, index.Jobs(-1), len(open))
 		}
 	})
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,7 +1,7 @@
-// Package recovery decides what becomes of stored jobs: whether one may be offered to the
-// policy (again), when, and bound to what, or whether it ends among the dead letters. It does
-// no I/O and knows no clock but the one it is handed. The policy still chooses the region,
-// repeats within an offer and what is refused.
+// Package recovery decides how to continue with stored jobs: whether a job may be offered, that is
+// submitted, to the policy (again), when and under which restrictions, or whether it becomes a dead
+// letter. It does no I/O, and callers pass in the current time. The policy still chooses the
+// worker, repeats attempts within an offer, and decides what to refuse.
 package recovery
 
 import (
@@ -11,151 +11,157 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Limits of what is tried for one job.
+// Limits bound the retries of one job.
 type Limits struct {
-	MaxOffers   int           // that may end without a result, above 0
-	MaxSends    int           // over all offers, above 0: a job that brings its dispatcher down each time never ends an offer
-	BaseBackoff time.Duration // the bound of the first back-off; it doubles with each
-	MaxBackoff  time.Duration // the bound that no back-off passes
-	Expiry      time.Duration // from its acceptance, or its instant; 0 for none
+	MaxOffers int // offers that may end without a result, above 0
+	// MaxSends is how often a job may be sent over all offers, above 0. It stops a job that crashes
+	// its dispatcher each time, so that its offers never end.
+	MaxSends    int
+	BaseBackoff time.Duration // upper bound of the first backoff; doubles with each retry
+	MaxBackoff  time.Duration // upper bound of every backoff
+	// Expiry is the time from the acceptance of a job, or from its scheduled time, until it
+	// expires; 0 for none.
+	Expiry time.Duration
 }
 
-// Send is a routed task that may have run.
+// Send is an attempt that may have run.
 type Send struct {
 	Zone, Cell int
-	At         time.Duration
+	At         time.Duration // when it was sent
 }
 
-// Job is what is known of a stored job.
+// Job is what is known about a stored job.
 type Job struct {
-	Effect      balance.Idempotency
-	Group       balance.DedupScope
+	Idempotency balance.Idempotency
+	DedupScope  balance.DedupScope
 	DedupWindow time.Duration
-	EligibleAt  time.Duration // it might first start
-	Offers      int           // that ended without a result
-	Sends       int
-	FirstSend   *Send // the earliest send that may have run, nil where none may
-	// Unclear tells that what was sent, or how long ago, cannot be known: the record is
-	// damaged, or the clock was set back while the process was down.
+	EligibleAt  time.Duration // when it could first start; its expiry counts from here
+	Offers      int           // offers that ended without a result
+	Sends       int           // sends over all offers
+	FirstSend   *Send         // the earliest send that may have run, or nil
+	// HistoryUnknown means that it is unknown what was sent or when: the record is damaged, or the
+	// clock was set back while the process was down.
 	HistoryUnknown bool
 }
 
 // Action is what to do with a job.
 type Action uint8
 
-// The actions. Each job is offered and waits any number of times, and then ends once: it is
-// done or buried.
+// The actions. A job may be offered and may wait any number of times. It ends exactly once, as
+// done or as a dead letter.
 const (
-	ActionOffer      Action = iota // to the policy, now
-	ActionWait                     // until Decision.At
-	ActionDeadLetter               // among the dead letters
-	ActionDone
+	ActionOffer      Action = iota // submit it to the policy now
+	ActionWait                     // decide again at Decision.At
+	ActionDeadLetter               // make it a dead letter
+	ActionDone                     // remove it
 )
 
-// The reasons for which a job is buried.
+// The reasons for making a job a dead letter.
 const (
 	ReasonUnknown      = "unknown"  // it may have run, and a repeat could double its effect
 	ReasonFailed       = "failed"   // every offer failed
 	ReasonRefused      = "refused"  // every offer was refused
 	ReasonExpired      = "expired"  // no result within the expiry
-	ReasonUnfit        = "unfit"    // a region turned the request itself away
+	ReasonInvalid      = "unfit"    // a worker rejected the request as invalid
 	ReasonTooManySends = "attempts" // too many sends
-	ReasonNoFunction   = "function" // its function is not served any more
+	ReasonNoFunction   = "function" // its function is no longer served
 )
 
-// Decision is what to do, and why.
+// Decision is an action and its details.
 type Decision struct {
-	Action  Action
-	At      time.Duration         // Wait
-	Reason  string                // Bury
-	Earlier *balance.PriorAttempt // Offer: what binds the policy, nil for nothing
+	Action       Action
+	At           time.Duration         // for ActionWait
+	Reason       string                // for ActionDeadLetter
+	PriorAttempt *balance.PriorAttempt // for ActionOffer: the earlier send that restricts the policy, or nil
 }
 
-// Outcome is how an offer ended.
+// Outcome is the outcome of an offer.
 type Outcome uint8
 
-// The ends. The policy refuses what was never sent, or what may be repeated.
+// The outcomes. The policy refuses only requests that were never sent or may safely be repeated.
 const (
 	OutcomeServed Outcome = iota
 	OutcomeRefused
 	OutcomeFailed
-	OutcomeUnfit
+	OutcomeInvalid
 )
 
-// margin keeps a repeat inside the span where clocks and networks are a little late.
-const margin = 250 * time.Millisecond
+// windowMargin is subtracted from the deduplication window, so that a repeat arrives within it in
+// spite of small clock differences and network delays.
+const windowMargin = 250 * time.Millisecond
 
-// Planner decides by its limits. It is not safe for concurrent use.
+// Planner makes the decisions. It is not safe for concurrent use.
 type Planner struct {
 	Limits
 	rng *rand.Rand
 }
 
-// NewPlanner returns a planner; its jitter follows from the seed alone.
-func NewPlanner(l Limits, seed uint64) *Planner {
-	return &Planner{Limits: l, rng: rand.New(rand.NewPCG(seed, 0x7265636f76657279))}
+// NewPlanner returns a planner. Its jitter is determined by the seed.
+func NewPlanner(limits Limits, seed uint64) *Planner {
+	return &Planner{Limits: limits, rng: rand.New(rand.NewPCG(seed, 0x7265636f76657279))}
 }
 
-// BeforeOffer decides on a job that is due.
+// BeforeOffer decides whether a job that is due may be offered.
 func (p *Planner) BeforeOffer(now time.Duration, j *Job) Decision {
 	switch {
 	case j.Sends >= p.MaxSends:
-		return p.bury(j, ReasonTooManySends)
+		return p.deadLetter(j, ReasonTooManySends)
 	case p.Expiry > 0 && now >= j.EligibleAt+p.Expiry:
-		return p.bury(j, ReasonExpired)
+		return p.deadLetter(j, ReasonExpired)
 	}
-	return p.repeat(now, j)
+	return p.planOffer(now, j)
 }
 
-// bury ends a job. That it may have run weighs more than any other reason: whoever releases it
-// must know.
-func (p *Planner) bury(j *Job, reason string) Decision {
-	if mayRepeat := j.Effect == balance.Idempotent; !mayRepeat && (j.FirstSend != nil || j.HistoryUnknown) {
+// deadLetter makes a job a dead letter. If the job may have run and its class is not idempotent,
+// the reason is always ReasonUnknown: an operator who releases the job must know that.
+func (p *Planner) deadLetter(j *Job, reason string) Decision {
+	if mayRepeat := j.Idempotency == balance.Idempotent; !mayRepeat && (j.FirstSend != nil || j.HistoryUnknown) {
 		reason = ReasonUnknown
 	}
 	return Decision{Action: ActionDeadLetter, Reason: reason}
 }
 
-// repeat offers a job as far as its class allows. After a first send that may have run, a keyed
-// job goes only to the group that knows its key, and only within the span; the policy is told
-// of that send and holds to both while the offer lasts.
-func (p *Planner) repeat(now time.Duration, j *Job) Decision {
-	if j.Effect == balance.Idempotent || j.FirstSend == nil && !j.HistoryUnknown {
+// planOffer offers a job again if its class allows that. After a first send that may have run, a
+// deduplicated job may only go to the workers that know its key, and only within the deduplication
+// window. The policy gets that send with the offer and enforces both rules during the offer.
+func (p *Planner) planOffer(now time.Duration, j *Job) Decision {
+	if j.Idempotency == balance.Idempotent || j.FirstSend == nil && !j.HistoryUnknown {
 		return Decision{Action: ActionOffer}
 	}
-	if j.HistoryUnknown || j.Effect == balance.NonIdempotent {
+	if j.HistoryUnknown || j.Idempotency == balance.NonIdempotent {
 		return Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}
 	}
-	ago := now - j.FirstSend.At
-	if ago < 0 || ago >= j.DedupWindow-margin { // before its own send: the clock was set back
+	age := now - j.FirstSend.At
+	if age < 0 || age >= j.DedupWindow-windowMargin { // a negative age means that the clock was set back
 		return Decision{Action: ActionDeadLetter, Reason: ReasonUnknown}
 	}
-	return Decision{Action: ActionOffer, Earlier: &balance.PriorAttempt{Zone: j.FirstSend.Zone, Cell: j.FirstSend.Cell, Age: ago}}
+	return Decision{Action: ActionOffer,
+		PriorAttempt: &balance.PriorAttempt{Zone: j.FirstSend.Zone, Cell: j.FirstSend.Cell, Age: age}}
 }
 
-// AfterOffer decides on a job whose offer has ended; j.Offers counts it already. retryAfter is the
-// policy's own advice.
-func (p *Planner) AfterOffer(now time.Duration, j *Job, e Outcome, retryAfter time.Duration) Decision {
+// AfterOffer decides what to do after an offer has ended; j.Offers already includes it. retryAfter
+// is the minimum wait that the policy asks for.
+func (p *Planner) AfterOffer(now time.Duration, j *Job, outcome Outcome, retryAfter time.Duration) Decision {
 	reason := ReasonFailed
-	switch e {
+	switch outcome {
 	case OutcomeServed:
 		return Decision{Action: ActionDone}
-	case OutcomeUnfit: // any region would turn it away, but for the effect it may have had before
-		return p.bury(j, ReasonUnfit)
+	case OutcomeInvalid: // every worker would reject it; an earlier send may still have run
+		return p.deadLetter(j, ReasonInvalid)
 	case OutcomeRefused:
 		reason = ReasonRefused
 	}
 	if j.Offers >= p.MaxOffers {
-		return p.bury(j, reason)
+		return p.deadLetter(j, reason)
 	}
 	d := p.BeforeOffer(now, j)
 	if d.Action != ActionOffer {
 		return d
 	}
 	at := now + max(retryAfter, p.backoff(j.Offers))
-	if d.Earlier != nil { // a wait that outlasts the span would end it unknown
-		if last := j.FirstSend.At + j.DedupWindow - margin; at >= last {
-			at = now + min(retryAfter, (last-now)/2)
+	if d.PriorAttempt != nil { // past the deduplication window it would become a dead letter as unknown
+		if windowEnd := j.FirstSend.At + j.DedupWindow - windowMargin; at >= windowEnd {
+			at = now + min(retryAfter, (windowEnd-now)/2)
 		}
 	}
 	if p.Expiry > 0 {
@@ -164,9 +170,9 @@
 	return Decision{Action: ActionWait, At: at}
 }
 
-// backoff is exponential with full jitter: any wait from nothing up to the bound, so that jobs
-// refused together do not come back together ("Exponential Backoff And Jitter", AWS
-// Architecture Blog, 2015).
+// backoff returns an exponential backoff with full jitter: a uniformly random wait from zero up to
+// the bound, so that jobs which were refused together are not retried together ("Exponential
+// Backoff And Jitter", AWS Architecture Blog, 2015).
 func (p *Planner) backoff(offers int) time.Duration {
 	bound := p.BaseBackoff
 	for i := 1; i < offers && bound < p.MaxBackoff; i++ {
