--- a/cmd/conform/main.go
+++ b/cmd/conform/main.go
@@ -1,5 +1,5 @@
-// Command conform plays the client's side of the conformance suite against the job server at an
-// address, and exits with 1 if it fails a case.
+// Command conform runs the client cases of the conformance suite against the job server at an
+// address, and exits with 1 if a case fails.
 package main
 
 import (
@@ -14,10 +14,10 @@
 )
 
 func main() {
-	function := flag.String("function", "price-read", "a `function` that the server knows")
-	ours := flag.Bool("tinroute", false, "play the cases, too, whose answers are tinroute's own")
-	store := flag.Bool("store", false, "background jobs are kept there")
-	wait := flag.Duration("wait", 3*time.Second, "how long to wait for what is expected")
+	function := flag.String("function", "price-read", "a `function` that the server can run")
+	tinrouteCases := flag.Bool("tinroute", false, "also run the cases that expect responses specific to tinroute")
+	store := flag.Bool("store", false, "the server stores background jobs")
+	wait := flag.Duration("wait", 3*time.Second, "how long to wait for an expected response")
 	flag.Parse()
 	if flag.NArg() != 1 {
 		fmt.Fprintln(os.Stderr, "usage: conform [flags] ADDRESS")
@@ -29,16 +29,16 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	p := conform.Player{Wait: *wait, Vars: conform.Vars{"$f": *function}, Dial: func(ctx context.Context) (net.Conn, error) {
+	player := conform.Player{Wait: *wait, Vars: conform.Vars{"$f": *function}, Dial: func(ctx context.Context) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", flag.Arg(0))
 	}}
 	passed, failed, skipped := 0, 0, 0
 	for _, c := range cases {
-		if c.Needs("server") || c.Needs("worker") || c.Needs("ours") && !*ours || c.Needs("store") && !*store || c.Needs("nostore") && *store {
+		if c.Needs("server") || c.Needs("worker") || c.Needs("ours") && !*tinrouteCases || c.Needs("store") && !*store || c.Needs("nostore") && *store {
 			skipped++
 			continue
 		}
-		if err := p.Play(context.Background(), c); err != nil {
+		if err := player.Play(context.Background(), c); err != nil {
 			failed++
 			fmt.Printf("FAIL %s\n     %v\n", c.Name, err)
 			continue
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts instances of the decision module on the simulator's wire:
-// batches of events on standard input, actions on standard output.
+// Command drill runs instances of the balancer for the simulator. It reads batches of events from
+// standard input and writes the resulting actions to standard output.
 package main
 
 import (
@@ -15,8 +15,8 @@
 )
 
 func main() {
-	// Little is allocated and the live heap is small, so the default would
-	// collect often for nothing; CPU is what the deployments lack.
+	// The program allocates little and its live heap is small, so the default would collect often for
+	// little gain. CPU time is the scarce resource in the deployments.
 	debug.SetGCPercent(800)
 	if err := run(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
@@ -24,114 +24,116 @@
 	}
 }
 
+// instance is a balancer and the encoder of its actions.
 type instance struct {
 	balancer *balance.Balancer
 	encoder  *wire.Encoder
 }
 
-// drill is the instance table and the stream it answers on.
-type drill struct {
+// server holds the instances by their number, and the output stream that they share.
+type server struct {
 	out       *bufio.Writer
-	errs      io.Writer
+	errOut    io.Writer
 	decoder   *wire.Decoder
 	instances map[int64]*instance
 	frame     wire.Event
 }
 
-func run(in io.Reader, out, errs io.Writer) error {
-	d := &drill{out: bufio.NewWriterSize(out, 1<<16), errs: errs, decoder: wire.NewDecoder(),
+// run handles the messages of in, one a line, until its end.
+func run(in io.Reader, out, errOut io.Writer) error {
+	s := &server{out: bufio.NewWriterSize(out, 1<<16), errOut: errOut, decoder: wire.NewDecoder(),
 		instances: map[int64]*instance{}}
 	lines := bufio.NewReaderSize(in, 1<<16)
-	var long []byte
+	var partial []byte
 	for {
 		line, err := lines.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, line...)
+			partial = append(partial, line...)
 			continue
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("reading a batch: %w", err)
 		}
-		if len(long) > 0 {
-			long = append(long, line...)
-			line = long
+		if len(partial) > 0 {
+			partial = append(partial, line...)
+			line = partial
 		}
 		if len(line) > 1 {
-			if err := d.line(line); err != nil {
+			if err := s.handleLine(line); err != nil {
 				return err
 			}
 		}
-		long = long[:0]
+		partial = partial[:0]
 		if err != nil {
 			return nil
 		}
 	}
 }
 
-func (d *drill) line(line []byte) error {
-	e, err := d.decoder.Decode(line)
+func (s *server) handleLine(line []byte) error {
+	event, err := s.decoder.Decode(line)
 	if err != nil {
-		d.complain(e, err)
+		s.reportError(event, err)
 		return nil
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case wire.Frame:
-		d.frame.Now = e.Now
+		s.frame.Now = event.Now
 	case wire.End:
-		_, _ = d.out.WriteString("[\"eor\"]\n")
-		if err := d.out.Flush(); err != nil {
+		_, _ = s.out.WriteString("[\"eor\"]\n")
+		if err := s.out.Flush(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	case wire.Up:
-		enc := wire.NewEncoder(d.out, e.Inst)
-		b, err := balance.New(*e.Settings, enc)
+		encoder := wire.NewEncoder(s.out, event.Inst)
+		balancer, err := balance.New(*event.Settings, encoder)
 		if err != nil {
-			d.complain(e, err)
+			s.reportError(event, err)
 			return nil
 		}
-		d.instances[e.Inst] = &instance{b, enc}
+		s.instances[event.Inst] = &instance{balancer, encoder}
 	case wire.Kill:
-		delete(d.instances, e.Inst)
+		delete(s.instances, event.Inst)
 	default:
-		i := d.instances[e.Inst]
-		if i == nil {
-			d.complain(e, fmt.Errorf("unknown instance %d", e.Inst))
+		target := s.instances[event.Inst]
+		if target == nil {
+			s.reportError(event, fmt.Errorf("unknown instance %d", event.Inst))
 			return nil
 		}
-		d.deliver(i.balancer, e)
+		s.deliver(target.balancer, event)
 	}
 	return nil
 }
 
-func (d *drill) deliver(b *balance.Balancer, e *wire.Event) {
-	now := d.frame.Now
-	switch e.Kind {
+func (s *server) deliver(balancer *balance.Balancer, event *wire.Event) {
+	now := s.frame.Now
+	switch event.Kind {
 	case wire.Members:
-		b.UpdateMembers(now, e.List, e.Members)
+		balancer.UpdateMembers(now, event.List, event.Members)
 	case wire.Request:
-		b.SubmitJob(now, e.Job)
+		balancer.SubmitJob(now, event.Job)
 	case wire.First:
-		b.StreamStarted(now, e.Job.ID, e.Result.Attempt)
+		balancer.StreamStarted(now, event.Job.ID, event.Result.Attempt)
 	case wire.Outcome:
-		b.AttemptDone(now, e.Result)
+		balancer.AttemptDone(now, event.Result)
 	case wire.Gone:
-		b.ClientGone(now, e.Job.ID)
+		balancer.ClientGone(now, event.Job.ID)
 	case wire.Timer:
-		b.TimerFired(now, e.Token)
+		balancer.TimerFired(now, event.Token)
 	case wire.Peer:
-		b.PeerMessage(now, e.From, e.Data)
+		balancer.PeerMessage(now, event.From, event.Data)
 	case wire.Probed:
-		b.ProbeDone(now, e.Result.Worker, e.Result.Status, e.Result.Elapsed, e.Result.Report)
+		balancer.ProbeDone(now, event.Result.Worker, event.Result.Status, event.Result.Elapsed, event.Result.Report)
 	case wire.Note:
-		b.AttemptEvent(now, e.Job.ID, e.Result.Attempt, e.Note, e.Amount)
+		balancer.AttemptEvent(now, event.Job.ID, event.Result.Attempt, event.Note, event.Amount)
 	}
 }
 
-// complain reports an input that cannot be used: always on standard error, and
-// on the wire where the instance is known.
-func (d *drill) complain(e *wire.Event, err error) {
-	fmt.Fprintln(d.errs, "drill:", err)
-	if e.HasInst {
-		wire.NewEncoder(d.out, e.Inst).Fault(err.Error())
+// reportError reports an invalid message on standard error and, if the message names an instance, as a
+// fault of that instance on standard output.
+func (s *server) reportError(event *wire.Event, err error) {
+	fmt.Fprintln(s.errOut, "drill:", err)
+	if event.HasInst {
+		wire.NewEncoder(s.out, event.Inst).Fault(err.Error())
 	}
 }
--- a/cmd/otlpview/main.go
+++ b/cmd/otlpview/main.go
@@ -1,4 +1,5 @@
-// Command otlpview receives OTLP into a file, and reports from one where requests' time went.
+// Command otlpview writes received OTLP batches to a file, and reports from such a file how requests
+// spent their time.
 package main
 
 import (
@@ -16,58 +17,60 @@
 	"tinroute.example/tinroute/internal/lab/collector"
 )
 
-type receive struct {
-	HTTP string `default:"127.0.0.1:4318" help:"Where to take OTLP over HTTP."`
-	GRPC string `default:"127.0.0.1:4317" help:"Where to take OTLP over gRPC."`
-	File string `arg:"" help:"The file that batches are added to, a line each."`
+type receiveCommand struct {
+	HTTP string `default:"127.0.0.1:4318" help:"Address to receive OTLP over HTTP on."`
+	GRPC string `default:"127.0.0.1:4317" help:"Address to receive OTLP over gRPC on."`
+	File string `arg:"" help:"File to append the batches to, one per line."`
 }
 
-// Run takes batches until it is told to end.
-func (r *receive) Run() error {
+// Run receives batches until a signal ends the process or a server or the file fails.
+func (r *receiveCommand) Run() error {
 	f, err := os.OpenFile(r.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 3)
-	c := collector.New(func(b collector.Batch) {
-		if err := collector.Write(f, b); err != nil {
-			failed <- err
+	failures := make(chan error, 3)
+	sink := collector.New(func(batch collector.Batch) {
+		if err := collector.Write(f, batch); err != nil {
+			failures <- err
 		}
 	})
-	web, err := net.Listen("tcp", r.HTTP)
+	httpListener, err := net.Listen("tcp", r.HTTP)
 	if err != nil {
 		return err
 	}
-	rpc, err := net.Listen("tcp", r.GRPC)
+	grpcListener, err := net.Listen("tcp", r.GRPC)
 	if err != nil {
 		return err
 	}
-	go func() { failed <- (&http.Server{Handler: c, ReadHeaderTimeout: 10 * time.Second}).Serve(web) }()
-	server := c.GRPC()
-	go func() { failed <- server.Serve(rpc) }()
-	fmt.Fprintf(os.Stderr, "taking OTLP over HTTP at %s and over gRPC at %s\n", web.Addr(), rpc.Addr())
-	end := make(chan os.Signal, 1)
-	signal.Notify(end, os.Interrupt, syscall.SIGTERM)
+	go func() {
+		failures <- (&http.Server{Handler: sink, ReadHeaderTimeout: 10 * time.Second}).Serve(httpListener)
+	}()
+	grpcServer := sink.GRPC()
+	go func() { failures <- grpcServer.Serve(grpcListener) }()
+	fmt.Fprintf(os.Stderr, "receiving OTLP over HTTP on %s and over gRPC on %s\n", httpListener.Addr(), grpcListener.Addr())
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	select {
-	case err := <-failed:
+	case err := <-failures:
 		return err
-	case <-end:
-		server.GracefulStop()
+	case <-signals:
+		grpcServer.GracefulStop()
 		return f.Close()
 	}
 }
 
-type report struct {
-	Class   string    `help:"Only requests of this class."`
-	From    time.Time `help:"Only requests from this time on (RFC 3339)."`
-	To      time.Time `help:"Only requests before this time (RFC 3339)."`
-	Slowest int       `default:"3" help:"How many of the slowest to show as timelines."`
-	Check   bool      `help:"Tell what is wrong with the spans too, and exit with 1 if anything is."`
-	File    string    `arg:"" type:"existingfile" help:"What receive has written."`
+type reportCommand struct {
+	Class   string    `help:"Include only requests of this class."`
+	From    time.Time `help:"Include only requests from this time on (RFC 3339)."`
+	To      time.Time `help:"Include only requests before this time (RFC 3339)."`
+	Slowest int       `default:"3" help:"Number of slowest requests to show as timelines."`
+	Check   bool      `help:"Also check the spans, list their faults, and exit with 1 if there are any."`
+	File    string    `arg:"" type:"existingfile" help:"File written by the receive command."`
 }
 
-// Run writes the report.
-func (r *report) Run() error {
+// Run writes the report to standard output.
+func (r *reportCommand) Run() error {
 	f, err := os.Open(r.File)
 	if err != nil {
 		return err
@@ -76,20 +79,20 @@
 	return r.write(f, os.Stdout)
 }
 
-func (r *report) write(in io.Reader, out io.Writer) error {
-	var all []*collector.Span
-	if err := collector.Read(in, func(b collector.Batch) { all = append(all, collector.Spans(b)...) }); err != nil {
+func (r *reportCommand) write(in io.Reader, out io.Writer) error {
+	var spans []*collector.Span
+	if err := collector.Read(in, func(batch collector.Batch) { spans = append(spans, collector.Spans(batch)...) }); err != nil {
 		return err
 	}
-	if err := collector.Report(out, all, collector.Question{Class: r.Class, From: r.From, To: r.To, Slowest: r.Slowest}); err != nil {
+	if err := collector.Report(out, spans, collector.Question{Class: r.Class, From: r.From, To: r.To, Slowest: r.Slowest}); err != nil {
 		return err
 	}
 	if r.Check {
-		if faults := collector.Check(all); len(faults) > 0 {
+		if faults := collector.Check(spans); len(faults) > 0 {
 			for _, f := range faults {
 				fmt.Fprintln(out, f)
 			}
-			return fmt.Errorf("%d faults", len(faults))
+			return fmt.Errorf("%d faults in the spans", len(faults))
 		}
 	}
 	return nil
@@ -97,9 +100,9 @@
 
 func main() {
 	var cli struct {
-		Receive receive `cmd:"" help:"Receive OTLP into a file."`
-		Report  report  `cmd:"" help:"Report where requests' time went."`
+		Receive receiveCommand `cmd:"" help:"Write received OTLP batches to a file."`
+		Report  reportCommand  `cmd:"" help:"Report how requests spent their time."`
 	}
-	k := kong.Parse(&cli, kong.Description("Receives OTLP into a file, and reports where requests' time went."), kong.UsageOnError())
-	k.FatalIfErrorf(k.Run())
+	parsed := kong.Parse(&cli, kong.Description("Receives OTLP into a file, and reports how requests spent their time."), kong.UsageOnError())
+	parsed.FatalIfErrorf(parsed.Run())
 }
--- a/cmd/tinroute/crash_test.go
+++ b/cmd/tinroute/crash_test.go
@@ -18,8 +18,8 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// The classes of the crash test: their spans are short, so that a restart falls inside some and
-// outside others.
+// crashSettings defines the classes of the crash test. Their deduplication spans are short, so that a
+// restart falls within some spans and beyond others.
 const crashSettings = `{"name":"n0","listen":"127.0.0.1:0","discovery":"TABLE","seed":"5","limits":{"memory_mb":192,"sockets":1024},
 "settings":{"classes":[
  {"name":"safe","repeat":"retryable","target_s":1,"deadline_s":2,"value":1},
@@ -30,58 +30,58 @@
 "limits":{"max_attempts":3,"cancel":true,"second_copies":true,"dial_timeout_s":0.25,"conn_idle_s":15,"max_retry_after_s":1},
 "rules":{"ask_within_s":10,"cold_from":1},"domain":{"tells_start":true}}}`
 
-var spans = map[string]time.Duration{"cell": 800 * time.Millisecond, "zone": 2500 * time.Millisecond}
+var dedupSpans = map[string]time.Duration{"cell": 800 * time.Millisecond, "zone": 2500 * time.Millisecond}
 
-// ran is one execution at a stand-in region.
-type ran struct {
+// execution is one execution of a job by a fake worker.
+type execution struct {
 	at     time.Time
-	region int
-	done   bool // it answered with the result
+	worker int
+	done   bool // the worker has sent the result
 }
 
-// fleet is four job servers, two zones of two cells, which note what they are given. Some jobs
-// are slow, some are cut off, some turned away.
-type crashFleet struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	runs map[string][]ran
+// fakeWorkers is four fake job servers, in two zones of two cells each, that record their jobs. They
+// delay some jobs, reset the connection during some, and reject some.
+type fakeWorkers struct {
+	mu         sync.Mutex
+	rng        *rand.Rand
+	executions map[string][]execution
 }
 
-func (f *crashFleet) serve(region int, c net.Conn) {
-	defer func() { _ = c.Close() }()
-	_ = link.ReadMessages(c, gearman.NewRequestFramer(), func(p *gearman.Packet) bool {
-		args, err := p.Args(3)
+func (f *fakeWorkers) serve(worker int, conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	_ = link.ReadMessages(conn, gearman.NewRequestFramer(), func(packet *gearman.Packet) bool {
+		args, err := packet.Args(3)
 		if err != nil {
 			return false
 		}
 		key := string(args[0]) + "/" + string(args[1])
 		f.mu.Lock()
-		fate, nap := f.rng.IntN(100), time.Duration(f.rng.IntN(40))*time.Millisecond
-		if fate < 4 {
+		outcome, delay := f.rng.IntN(100), time.Duration(f.rng.IntN(40))*time.Millisecond
+		if outcome < 4 {
 			f.mu.Unlock()
-			_, _ = c.Write(gearman.Response(gearman.Error, "full", ""))
+			_, _ = conn.Write(gearman.Response(gearman.Error, "full", ""))
 			return true
 		}
-		f.runs[key] = append(f.runs[key], ran{at: time.Now(), region: region})
-		n := len(f.runs[key]) - 1
+		f.executions[key] = append(f.executions[key], execution{at: time.Now(), worker: worker})
+		index := len(f.executions[key]) - 1
 		f.mu.Unlock()
-		_, _ = c.Write(append(gearman.Response(gearman.JobCreated, "H"), gearman.Response(gearman.WorkStatus, "H", "0", "1")...))
-		time.Sleep(nap)
-		if fate < 8 {
-			return false // reset
+		_, _ = conn.Write(append(gearman.Response(gearman.JobCreated, "H"), gearman.Response(gearman.WorkStatus, "H", "0", "1")...))
+		time.Sleep(delay)
+		if outcome < 8 {
+			return false // reset the connection
 		}
 		f.mu.Lock()
-		f.runs[key][n].done = true
+		f.executions[key][index].done = true
 		f.mu.Unlock()
-		_, err = c.Write(gearman.Response(gearman.WorkComplete, "H", "r"))
+		_, err = conn.Write(gearman.Response(gearman.WorkComplete, "H", "r"))
 		return err == nil
 	})
 }
 
-// TestCrash kills the real program at random instants while background jobs are submitted, sent
-// and finished and its store is compacted, and starts it again each time. No job whose
-// JOB_CREATED was read may be lost, and none may be repeated where its class forbids it.
-// TINROUTE_KILLS sets how often; TINROUTE_SEED the instants.
+// TestCrash repeatedly kills the real program at random times, while background jobs are submitted,
+// sent and finished and the job store is compacted, and restarts it. No job whose JOB_CREATED was read
+// may be lost, and no job may be repeated where its class forbids it. TINROUTE_KILLS sets the number of
+// kills and TINROUTE_SEED the seed of their times.
 func TestCrash(t *testing.T) {
 	kills, seed := 8, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("TINROUTE_KILLS")); err == nil {
@@ -91,10 +91,10 @@
 		seed = n
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	f := &crashFleet{rng: rand.New(rand.NewPCG(seed, 2)), runs: map[string][]ran{}}
-	w := newShop(t, crashSettings, "[retry]\noffers = 100\nsends = 1000\nbackoff = '50ms'\nbackoff_most = '400ms'\n", f.serve)
+	workers := &fakeWorkers{rng: rand.New(rand.NewPCG(seed, 2)), executions: map[string][]execution{}}
+	env := newTestEnv(t, crashSettings, "[retry]\noffers = 100\nsends = 1000\nbackoff = '50ms'\nbackoff_most = '400ms'\n", workers.serve)
 
-	// Clients submit as fast as JOB_CREATED comes, and compaction is asked for all the time.
+	// Clients submit a job after each JOB_CREATED, and compaction is requested continuously.
 	accepted, mu := map[string]string{}, sync.Mutex{}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
@@ -110,21 +110,21 @@
 	for i := range 8 {
 		clients.Go(func() {
 			for n := 0; !stopped(); {
-				c := w.dial()
-				if c == nil {
+				conn := env.dialGearman()
+				if conn == nil {
 					return
 				}
 				submit := func() (key string) {
 					n++
 					function, unique := classes[n%4], fmt.Sprintf("u%d-%d", i, n)
-					_, _ = c.Write(gearman.Request(gearman.SubmitJobBG, function, unique, strings.Repeat("x", 200+n%1000)))
+					_, _ = conn.Write(gearman.Request(gearman.SubmitJobBG, function, unique, strings.Repeat("x", 200+n%1000)))
 					return function + "/" + unique
 				}
 				key := submit()
-				_ = link.ReadMessages(c, gearman.NewResponseFramer(), func(p *gearman.Packet) bool {
-					if p.Type == gearman.JobCreated {
+				_ = link.ReadMessages(conn, gearman.NewResponseFramer(), func(packet *gearman.Packet) bool {
+					if packet.Type == gearman.JobCreated {
 						mu.Lock()
-						accepted[key] = string(p.Body)
+						accepted[key] = string(packet.Body)
 						mu.Unlock()
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -134,84 +134,84 @@
 					key = submit()
 					return true
 				})
-				_ = c.Close()
+				_ = conn.Close()
 			}
 		})
 	}
 	clients.Go(func() {
 		for !stopped() {
-			if c := w.dial(); c != nil {
-				_, _ = c.Write([]byte("store compact\n"))
-				_, _ = bufio.NewReader(c).ReadString('\n')
-				_ = c.Close()
+			if conn := env.dialGearman(); conn != nil {
+				_, _ = conn.Write([]byte("store compact\n"))
+				_, _ = bufio.NewReader(conn).ReadString('\n')
+				_ = conn.Close()
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
-	p := w.start()
+	cmd := env.startProgram()
 	for range kills {
-		if c := w.dial(); c != nil {
-			_ = c.Close()
+		if conn := env.dialGearman(); conn != nil {
+			_ = conn.Close()
 		}
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
-		require.NoError(t, p.Process.Kill())
-		_ = p.Wait()
-		p = w.start()
+		require.NoError(t, cmd.Process.Kill())
+		_ = cmd.Wait()
+		cmd = env.startProgram()
 	}
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
 	clients.Wait()
 
-	// The rest is run, or ends among the dead letters.
+	// The remaining jobs are run or become dead letters.
 	require.Eventually(t, func() bool {
-		lines, err := w.text("show jobs")
+		lines, err := env.textCommand("show jobs")
 		return err == nil && len(lines) == 0
-	}, 60*time.Second, 50*time.Millisecond, "jobs are left")
+	}, 60*time.Second, 50*time.Millisecond, "unfinished jobs remain")
 	dead := map[string]string{}
-	lines, err := w.text("show dead")
+	lines, err := env.textCommand("show dead")
 	require.NoError(t, err)
 	for _, l := range lines {
-		w := strings.Split(l, "\t")
-		dead[w[1]+"/"+w[2]] = w[3]
+		fields := strings.Split(l, "\t")
+		dead[fields[1]+"/"+fields[2]] = fields[3]
 	}
-	require.NoError(t, p.Process.Signal(os.Interrupt))
-	require.NoError(t, p.Wait())
-	log, err := os.ReadFile(w.log)
+	require.NoError(t, cmd.Process.Signal(os.Interrupt))
+	require.NoError(t, cmd.Wait())
+	log, err := os.ReadFile(env.logFile)
 	require.NoError(t, err)
 	require.NotContains(t, string(log), "panic")
 	require.NotContains(t, string(log), "job store damaged")
 
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	workers.mu.Lock()
+	defer workers.mu.Unlock()
 	repeated, reasons := 0, map[string]int{}
 	for key, handle := range accepted {
 		served := false
-		for _, r := range f.runs[key] {
-			served = served || r.done
+		for _, execution := range workers.executions[key] {
+			served = served || execution.done
 		}
 		if reason, isDead := dead[key]; isDead {
 			reasons[reason]++
 		} else {
-			require.True(t, served, "job %s of %s is lost: it ran %d times", handle, key, len(f.runs[key]))
+			require.True(t, served, "job %s of %s is lost; it was started %d times", handle, key, len(workers.executions[key]))
 		}
 	}
-	for key, runs := range f.runs {
+	for key, executions := range workers.executions {
 		class, _, _ := strings.Cut(key, "/")
-		if len(runs) > 1 {
+		if len(executions) > 1 {
 			repeated++
 		}
-		for _, r := range runs[1:] {
-			first := runs[0]
+		for _, execution := range executions[1:] {
+			first := executions[0]
 			switch class {
 			case "unsafe":
 				require.Fail(t, "an unsafe job ran twice", key)
 			case "cell":
-				require.Equal(t, first.region, r.region, "%s ran in two cells", key)
+				require.Equal(t, first.worker, execution.worker, "%s ran in two cells", key)
 			case "zone":
-				require.Equal(t, first.region/2, r.region/2, "%s ran in two zones", key)
+				require.Equal(t, first.worker/2, execution.worker/2, "%s ran in two zones", key)
 			}
-			if span := spans[class]; span > 0 {
-				require.Less(t, r.at.Sub(first.at), span, "%s ran again after its span", key)
+			if dedupSpan := dedupSpans[class]; dedupSpan > 0 {
+				require.Less(t, execution.at.Sub(first.at), dedupSpan, "%s ran again after its span", key)
 			}
 		}
 	}
--- a/cmd/tinroute/main.go
+++ b/cmd/tinroute/main.go
@@ -1,5 +1,5 @@
-// Command tinroute is the dispatcher daemon. Its words are package cli's; what it is told at its
-// start is described in package config.
+// Command tinroute is the dispatcher daemon. Its command line is implemented in package cli, its
+// configuration in package config.
 package main
 
 import (
--- a/cmd/tinroute/main_test.go
+++ b/cmd/tinroute/main_test.go
@@ -15,7 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain runs the program itself where the tests below ask for it.
+// TestMain runs the program instead of the tests if TINROUTE_TEST_MAIN is set, so that tests can start
+// the test binary as the daemon.
 func TestMain(m *testing.M) {
 	if os.Getenv("TINROUTE_TEST_MAIN") != "" {
 		main()
@@ -24,16 +25,17 @@
 	os.Exit(m.Run())
 }
 
-// SIGHUP makes the program read its file again, whose discovery then wins over the older
-// word of its environment; unhandled it would end the process. A faulty file changes nothing.
-func TestHangup(t *testing.T) {
-	discovery := func() net.Listener {
+// SIGHUP reloads the configuration file, and the discovery address of the file then takes precedence
+// over the one in the environment. An unhandled SIGHUP would end the process. An invalid file changes
+// nothing.
+func TestReloadOnHangup(t *testing.T) {
+	startDiscoveryListener := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = l.Close() })
 		return l
 	}
-	asked := func(l net.Listener) {
+	expectQuery := func(l net.Listener) {
 		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(20*time.Second)))
 		c, err := l.Accept()
 		require.NoError(t, err)
@@ -41,7 +43,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "/api/targets", r.URL.Path)
 	}
-	first, second, third := discovery(), discovery(), discovery()
+	first, second, third := startDiscoveryListener(), startDiscoveryListener(), startDiscoveryListener()
 	text, err := os.ReadFile("../../example/config.json")
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -50,26 +52,26 @@
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	}
 	write(first, "1024")
-	p := exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), "TINROUTE_TEST_MAIN=1", "LB_CONFIG="+file, "LB_LISTEN=127.0.0.1:0",
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), "TINROUTE_TEST_MAIN=1", "LB_CONFIG="+file, "LB_LISTEN=127.0.0.1:0",
 		"LB_DISCOVERY="+first.Addr().String())
-	require.NoError(t, p.Start())
-	asked(first)
+	require.NoError(t, cmd.Start())
+	expectQuery(first)
 	write(second, "1024")
-	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	asked(second)
+	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
+	expectQuery(second)
 	write(first, "3")
-	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	write(third, "1024")
-	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	asked(third)
-	require.NoError(t, p.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, p.Wait())
+	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
+	expectQuery(third)
+	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, cmd.Wait())
 }
 
-// Told to end at any moment of its start, the program ends in order, or by the signal's own default
-// where it has not come to take it; it neither fails nor stays.
-func TestEarlyKills(t *testing.T) {
+// A SIGTERM at any time during the start ends the process: cleanly, or by the signal's default action
+// if the handler is not installed yet. It must neither fail nor keep running.
+func TestTerminationDuringStart(t *testing.T) {
 	text, err := os.ReadFile("../../example/config.json")
 	require.NoError(t, err)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -77,21 +79,21 @@
 	for delay := time.Duration(0); delay <= 120*time.Millisecond; delay += 15 * time.Millisecond {
 		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
-			p := exec.Command(os.Args[0])
-			p.Env = append(os.Environ(), "TINROUTE_TEST_MAIN=1", "LB_CONFIG="+file, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY=127.0.0.1:1")
-			require.NoError(t, p.Start())
+			cmd := exec.Command(os.Args[0])
+			cmd.Env = append(os.Environ(), "TINROUTE_TEST_MAIN=1", "LB_CONFIG="+file, "LB_LISTEN=127.0.0.1:0", "LB_DISCOVERY=127.0.0.1:1")
+			require.NoError(t, cmd.Start())
 			time.Sleep(delay)
-			require.NoError(t, p.Process.Signal(syscall.SIGTERM))
+			require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 			ended := make(chan error, 1)
-			go func() { ended <- p.Wait() }()
+			go func() { ended <- cmd.Wait() }()
 			select {
 			case <-ended:
 			case <-time.After(20 * time.Second):
-				_ = p.Process.Kill()
-				t.Fatal("the process stays")
+				_ = cmd.Process.Kill()
+				t.Fatal("the process is still running")
 			}
-			status := p.ProcessState.Sys().(syscall.WaitStatus)
-			require.True(t, status.ExitStatus() == 0 || status.Signaled() && status.Signal() == syscall.SIGTERM, "%v", p.ProcessState)
+			status := cmd.ProcessState.Sys().(syscall.WaitStatus)
+			require.True(t, status.ExitStatus() == 0 || status.Signaled() && status.Signal() == syscall.SIGTERM, "%v", cmd.ProcessState)
 		})
 	}
 }
--- a/cmd/tinroute/upgrade_test.go
+++ b/cmd/tinroute/upgrade_test.go
@@ -20,21 +20,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standinWorker is a price node of the platform's protocol: it takes a job with 202 and tells its
-// end by a call-back to the dispatcher's address, each on a new connection, so that during an
-// upgrade call-backs reach either process.
-type standinWorker struct {
-	name, addr string
-	after      atomic.Int64 // Unix nanoseconds from which no request may come; 0 for none
-	late       atomic.Int64 // requests that came after it
-	taken      atomic.Int64
+// fakeWorker is a fake worker that speaks the platform's protocol. It accepts each job with status
+// 202 and reports the result in a callback to the dispatcher's address. Each callback uses a new
+// connection, so that during an upgrade callbacks reach both processes.
+type fakeWorker struct {
+	name, addr     string
+	forbiddenAfter atomic.Int64 // Unix nanoseconds; no request may arrive after this time; 0 if unset
+	lateRequests   atomic.Int64 // number of requests that arrived later than that
+	accepted       atomic.Int64
 }
 
-func startWorker(t *testing.T, name, dispatcher string) *standinWorker {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func startFakeWorker(t *testing.T, name, dispatcher string) *fakeWorker {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	w := &standinWorker{name: name, addr: l.Addr().String()}
-	back := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	w := &fakeWorker{name: name, addr: listener.Addr().String()}
+	callbackClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			rw.WriteHeader(http.StatusOK)
@@ -42,16 +42,16 @@
 		}
 		id := r.Header.Get("Req-Id")
 		_, _ = io.Copy(io.Discard, r.Body)
-		if after := w.after.Load(); after != 0 && time.Now().UnixNano() > after {
-			w.late.Add(1)
+		if after := w.forbiddenAfter.Load(); after != 0 && time.Now().UnixNano() > after {
+			w.lateRequests.Add(1)
 		}
-		w.taken.Add(1)
+		w.accepted.Add(1)
 		rw.WriteHeader(http.StatusAccepted)
 		go func() {
 			time.Sleep(20 * time.Millisecond)
 			event := fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"r-%s"}`, id, name, id)
 			for range 10 {
-				resp, err := back.Post("http://"+dispatcher+"/v1/job-events", "application/json", strings.NewReader(event))
+				resp, err := callbackClient.Post("http://"+dispatcher+"/v1/job-events", "application/json", strings.NewReader(event))
 				if err == nil {
 					resp.Body.Close()
 					if resp.StatusCode/100 == 2 {
@@ -62,17 +62,17 @@
 			}
 		}()
 	})}
-	go func() { _ = srv.Serve(l) }()
+	go func() { _ = srv.Serve(listener) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return w
 }
 
-func startDiscovery(t *testing.T, workers ...*standinWorker) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func startDiscovery(t *testing.T, workers ...*fakeWorker) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	var list []string
+	var entries []string
 	for _, w := range workers {
-		list = append(list, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"agadir","kind":"large-fast","cell":0,"state":"SERVING","weight":1}`,
+		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"agadir","kind":"large-fast","cell":0,"state":"SERVING","weight":1}`,
 			w.name, w.addr))
 	}
 	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -81,166 +81,166 @@
 			_, _ = fmt.Fprint(rw, `{"version":1,"full":false,"servers":[]}`)
 			return
 		}
-		_, _ = fmt.Fprintf(rw, `{"version":1,"full":true,"servers":[%s]}`, strings.Join(list, ","))
+		_, _ = fmt.Fprintf(rw, `{"version":1,"full":true,"servers":[%s]}`, strings.Join(entries, ","))
 	})}
-	go func() { _ = srv.Serve(l) }()
+	go func() { _ = srv.Serve(listener) }()
 	t.Cleanup(func() { _ = srv.Close() })
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// call asks the operators' door once.
-func call(addr, method, path, body string) (int, string, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+// adminRequest sends one request to the admin server.
+func adminRequest(addr, method, path, body string) (int, string, error) {
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, "", err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: ops\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
+	fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: ops\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, "", err
 	}
-	data, err := io.ReadAll(r.Body)
-	return r.StatusCode, string(data), err
+	data, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(data), err
 }
 
-func waitReady(t *testing.T, ops string) {
+func waitReady(t *testing.T, adminAddr string) {
 	require.Eventually(t, func() bool {
-		code, _, _ := call(ops, "GET", "/_ready", "")
+		code, _, _ := adminRequest(adminAddr, "GET", "/_ready", "")
 		return code == 200
-	}, 10*time.Second, 20*time.Millisecond, "not ready at %s", ops)
+	}, 10*time.Second, 20*time.Millisecond, "not ready at %s", adminAddr)
 }
 
-// An upgrade under load: a second process at the same addresses with a new door, in the same
-// $TMPDIR, says yes; the first is told to end. Every request gets its worker's result, none is
-// dropped at the door, a worker out by hand stays out in the new process, and the old one exits
-// by itself before it could be killed.
+// TestUpgrade replaces the process under load. A second process with the same addresses and $TMPDIR but
+// another admin address becomes ready, then the first gets SIGTERM. Every request must get its worker's
+// result and none may be dropped, a detached worker must stay detached in the new process, and the old
+// process must exit before it would be killed.
 func TestUpgrade(t *testing.T) {
-	listen, opsOld, opsNew := freeAddr(t), freeAddr(t), freeAddr(t)
-	one, two := startWorker(t, "s-00000001", listen), startWorker(t, "s-00000002", listen)
-	discovery := startDiscovery(t, one, two)
+	listen, oldAdmin, newAdmin := freeAddr(t), freeAddr(t), freeAddr(t)
+	attachedWorker, detachedWorker := startFakeWorker(t, "s-00000001", listen), startFakeWorker(t, "s-00000002", listen)
+	discovery := startDiscovery(t, attachedWorker, detachedWorker)
 	text, err := os.ReadFile("../../example/config.json")
 	require.NoError(t, err)
 	dir := t.TempDir()
 	config := filepath.Join(dir, "config.json")
 	require.NoError(t, os.WriteFile(config, []byte(strings.NewReplacer(`"example/hooks.star"`, "").Replace(string(text))), 0o600))
-	shared := filepath.Join(dir, "tmp")
-	require.NoError(t, os.Mkdir(shared, 0o700))
+	tempDir := filepath.Join(dir, "tmp")
+	require.NoError(t, os.Mkdir(tempDir, 0o700))
 	var logs [2]bytes.Buffer
-	start := func(ops string, log *bytes.Buffer) *exec.Cmd {
+	start := func(adminAddr string, log *bytes.Buffer) *exec.Cmd {
 		p := exec.Command(os.Args[0])
 		p.Env = append(os.Environ(), "TINROUTE_TEST_MAIN=1", "LB_CONFIG="+config, "LB_LISTEN="+listen,
-			"LB_DISCOVERY="+discovery, "LB_OPS="+ops, "TMPDIR="+shared)
+			"LB_DISCOVERY="+discovery, "LB_OPS="+adminAddr, "TMPDIR="+tempDir)
 		p.Stdout, p.Stderr = log, log
 		require.NoError(t, p.Start())
 		t.Cleanup(func() { _ = p.Process.Kill(); _ = p.Wait() })
 		return p
 	}
-	old := start(opsOld, &logs[0])
-	waitReady(t, opsOld)
+	oldCmd := start(oldAdmin, &logs[0])
+	waitReady(t, oldAdmin)
 
-	code, body, err := call(opsOld, "POST", "/_workers/detach", "s-00000009")
+	code, body, err := adminRequest(oldAdmin, "POST", "/_workers/detach", "s-00000009")
 	require.NoError(t, err)
 	require.Equal(t, 404, code, body)
-	code, body, err = call(opsOld, "POST", "/_workers/detach", "s-00000002")
+	code, body, err = adminRequest(oldAdmin, "POST", "/_workers/detach", "s-00000002")
 	require.NoError(t, err)
 	require.Equal(t, 200, code, body)
-	two.after.Store(time.Now().UnixNano())
+	detachedWorker.forbiddenAfter.Store(time.Now().UnixNano())
 
-	// Clients keep their connections, and resend once on a new one where a close crosses a
-	// request, as the platform's clients do.
+	// Clients keep their connections open. If the connection is closed while a request is sent, they
+	// resend it once on a new connection, as the platform's clients do.
 	var stop atomic.Bool
 	var served, refused, wrong, dropped, slowest atomic.Int64
-	var wrongs sync.Map
+	var wrongAnswers sync.Map
 	var clients sync.WaitGroup
 	var seq atomic.Int64
 	for range 4 {
 		clients.Go(func() {
 			client := &http.Client{Timeout: 6 * time.Second}
 			for !stop.Load() {
-				ok := false
-				for try := 0; try < 2 && !ok; try++ {
+				answered := false
+				for attempt := 0; attempt < 2 && !answered; attempt++ {
 					id := fmt.Sprintf("%016x", seq.Add(1))
 					req, _ := http.NewRequest("POST", "http://"+listen+"/price-read?k=7", strings.NewReader("fund=7"))
 					req.Header.Set("Req-Id", id)
 					req.Header.Set("Req-Owner", "argane-epargne")
 					req.Header.Set("Req-Deadline", "5000m")
-					asked := time.Now()
+					sentAt := time.Now()
 					resp, err := client.Do(req)
 					if err != nil {
 						continue
 					}
-					for took := int64(time.Since(asked)); ; {
-						if was := slowest.Load(); took <= was || slowest.CompareAndSwap(was, took) {
+					for took := int64(time.Since(sentAt)); ; {
+						if previous := slowest.Load(); took <= previous || slowest.CompareAndSwap(previous, took) {
 							break
 						}
 					}
 					data, _ := io.ReadAll(resp.Body)
 					resp.Body.Close()
-					ok = true
-					if resp.StatusCode == 503 { // a refusal is an answer: the client comes back later
+					answered = true
+					if resp.StatusCode == 503 { // a refusal is an answer: the client retries later
 						refused.Add(1)
 						time.Sleep(20 * time.Millisecond)
 					} else if resp.StatusCode != 200 || string(data) != "r-"+id {
 						wrong.Add(1)
-						wrongs.Store(fmt.Sprintf("%d %q", resp.StatusCode, data), true)
+						wrongAnswers.Store(fmt.Sprintf("%d %q", resp.StatusCode, data), true)
 					} else {
 						served.Add(1)
 					}
 				}
-				if !ok {
+				if !answered {
 					dropped.Add(1)
 				}
 			}
 		})
 	}
 	time.Sleep(500 * time.Millisecond)
-	fresh := start(opsNew, &logs[1])
-	waitReady(t, opsNew)
-	time.Sleep(300 * time.Millisecond) // both serve
-	began := time.Now()
-	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
+	newCmd := start(newAdmin, &logs[1])
+	waitReady(t, newAdmin)
+	time.Sleep(300 * time.Millisecond) // both processes serve
+	signalled := time.Now()
+	require.NoError(t, oldCmd.Process.Signal(syscall.SIGTERM))
 	ended := make(chan error, 1)
-	go func() { ended <- old.Wait() }()
+	go func() { ended <- oldCmd.Wait() }()
 	select {
 	case err := <-ended:
-		require.NoError(t, err, "the old process ends cleanly")
+		require.NoError(t, err, "the old process exits cleanly")
 	case <-time.After(5 * time.Second):
-		t.Fatalf("the old process did not end by itself\n%s", logs[0].String())
+		t.Fatalf("the old process did not exit\n%s", logs[0].String())
 	}
-	oldTook := time.Since(began)
+	exitTime := time.Since(signalled)
 	time.Sleep(500 * time.Millisecond)
-	code, vars, err := call(opsNew, "GET", "/_vars", "")
+	code, metrics, err := adminRequest(newAdmin, "GET", "/_vars", "")
 	require.NoError(t, err)
 	require.Equal(t, 200, code)
-	var scrapes sync.WaitGroup // scrapers at once, beside the load: each is answered within a second
-	var slowScrape atomic.Int64
+	var scrapes sync.WaitGroup // concurrent scrapes under load must be answered within a second
+	var failedScrapes atomic.Int64
 	for range 20 {
 		scrapes.Go(func() {
-			asked := time.Now()
-			if code, _, err := call(opsNew, "GET", "/_vars", ""); err != nil || code != 200 || time.Since(asked) > time.Second {
-				slowScrape.Add(1)
-				t.Logf("scrape: %d %v after %v", code, err, time.Since(asked))
+			sentAt := time.Now()
+			if code, _, err := adminRequest(newAdmin, "GET", "/_vars", ""); err != nil || code != 200 || time.Since(sentAt) > time.Second {
+				failedScrapes.Add(1)
+				t.Logf("scrape: %d %v after %v", code, err, time.Since(sentAt))
 			}
 		})
 	}
 	scrapes.Wait()
-	require.Zero(t, slowScrape.Load(), "scrapes late or not answered")
+	require.Zero(t, failedScrapes.Load(), "scrapes that were late or failed")
 	stop.Store(true)
 	clients.Wait()
 
-	require.Zero(t, dropped.Load(), "requests that found no answer even when sent again")
-	wrongs.Range(func(k, _ any) bool { t.Log("answer: ", k); return true })
+	require.Zero(t, dropped.Load(), "requests without an answer even after the resend")
+	wrongAnswers.Range(func(k, _ any) bool { t.Log("answer: ", k); return true })
 	require.Zero(t, wrong.Load(), "answers that are not the worker's result")
 	require.Greater(t, served.Load(), int64(50))
-	require.Less(t, time.Duration(slowest.Load()), 2*time.Second, "an answer waited, as for a call-back that went astray")
-	require.Zero(t, two.late.Load(), "a worker out by hand got work after the yes, in one process or the other")
-	require.Greater(t, one.taken.Load(), int64(0))
-	require.Contains(t, vars, "edge_lb.hosts_down:1|g", "the new process keeps the ban\n%s", vars)
+	require.Less(t, time.Duration(slowest.Load()), 2*time.Second, "an answer was delayed, as by a lost callback")
+	require.Zero(t, detachedWorker.lateRequests.Load(), "one of the processes sent work to the detached worker")
+	require.Greater(t, attachedWorker.accepted.Load(), int64(0))
+	require.Contains(t, metrics, "edge_lb.hosts_down:1|g", "the worker must stay detached in the new process\n%s", metrics)
 	require.Contains(t, logs[1].String(), "workers out by hand, taken over")
-	require.Less(t, oldTook, 3700*time.Millisecond, "the old process must end before it could be killed")
-	require.NoError(t, fresh.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, fresh.Wait())
-	t.Logf("served %d, refused %d, old process ended %v after SIGTERM", served.Load(), refused.Load(), oldTook)
+	require.Less(t, exitTime, 3700*time.Millisecond, "the old process must exit before it would be killed")
+	require.NoError(t, newCmd.Process.Signal(syscall.SIGTERM))
+	require.NoError(t, newCmd.Wait())
+	t.Logf("served %d, refused %d, old process ended %v after SIGTERM", served.Load(), refused.Load(), exitTime)
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -4,83 +4,87 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// AttemptStarted takes a worker's word that it has begun with an attempt.
-func (c *Core) AttemptStarted(t *Attempt) { c.note(t, balance.EventStarted, 0) }
+// AttemptStarted records that the worker has begun an attempt.
+func (c *Core) AttemptStarted(attempt *Attempt) { c.recordProgress(attempt, balance.EventStarted, 0) }
 
-// AttemptProgress takes a worker's word on how much of an attempt it has done.
-func (c *Core) AttemptProgress(t *Attempt, share float64) { c.note(t, balance.EventProgress, share) }
+// AttemptProgress records the fraction of an attempt that the worker has completed.
+func (c *Core) AttemptProgress(attempt *Attempt, fraction float64) {
+	c.recordProgress(attempt, balance.EventProgress, fraction)
+}
 
-func (c *Core) note(t *Attempt, kind balance.EventKind, share float64) {
+// recordProgress passes a start or progress report to the client, the observers and the balancer.
+func (c *Core) recordProgress(attempt *Attempt, kind balance.EventKind, fraction float64) {
 	c.post(func() {
-		if t.done {
+		if attempt.done {
 			return
 		}
-		if f, ok := t.Request.Client.(ProgressReceiver); ok && !t.Request.over {
-			f.Progress(share)
+		if receiver, ok := attempt.Request.Client.(ProgressReceiver); ok && !attempt.Request.finished {
+			receiver.Progress(fraction)
 		}
-		if !t.started {
-			t.started = true
-			for _, p := range c.phases {
-				p.AttemptStarted(t)
+		if !attempt.started {
+			attempt.started = true
+			for _, observer := range c.phaseObservers {
+				observer.AttemptStarted(attempt)
 			}
 		}
-		c.balancer.AttemptEvent(c.now, t.Request.job, t.Index, kind, share)
+		c.balancer.AttemptEvent(c.now, attempt.Request.jobID, attempt.Index, kind, fraction)
 	})
 }
 
-// AttemptEnded takes the outcome of an attempt from its driver, which then holds nothing of
-// it any more. Only the first outcome counts; a later one just settles a cancelled attempt.
-func (c *Core) AttemptEnded(t *Attempt, s balance.Status, result []byte) {
-	t.RecordEvent(Reported)
+// AttemptEnded reports the outcome of an attempt, which the driver must no longer use. Only the first
+// outcome of an attempt counts; a later one only settles a cancelled attempt.
+func (c *Core) AttemptEnded(attempt *Attempt, status balance.Status, result []byte) {
+	attempt.RecordEvent(Reported)
 	c.post(func() {
-		if !t.settled {
-			t.settled = true
-			if t.withdrawn {
-				if t.Request.unsettled[t.Worker.ID]--; t.Request.unsettled[t.Worker.ID] <= 0 {
-					delete(t.Request.unsettled, t.Worker.ID)
+		if !attempt.settled {
+			attempt.settled = true
+			if attempt.cancelRequested {
+				if attempt.Request.unsettledCancels[attempt.Worker.ID]--; attempt.Request.unsettledCancels[attempt.Worker.ID] <= 0 {
+					delete(attempt.Request.unsettledCancels, attempt.Worker.ID)
 				}
-				c.forget(t.Request)
+				c.removeFinished(attempt.Request)
 			}
 		}
-		c.ended(t, s, result)
+		c.finishAttempt(attempt, status, result)
 	})
 }
 
-func (c *Core) ended(t *Attempt, s balance.Status, result []byte) {
-	if t.done { // late or repeated: exactly one outcome for each send
+// finishAttempt ends an attempt with its first outcome and informs the balancer.
+func (c *Core) finishAttempt(attempt *Attempt, status balance.Status, result []byte) {
+	if attempt.done { // late or duplicate: each attempt has exactly one outcome
 		return
 	}
-	t.done = true
-	t.unreached = s == balance.StatusUnreachable
-	c.stop(t.limit)
-	request := t.Request
-	request.out--
-	c.active--
-	if !t.unsent {
-		c.observe(func(o Observer) { o.AttemptEnded(t, s, c.now-t.sent) })
+	attempt.done = true
+	attempt.neverConnected = status == balance.StatusUnreachable
+	c.stopTimer(attempt.timeoutTimer)
+	request := attempt.Request
+	request.attemptsInFlight--
+	c.attemptsInFlight--
+	if !attempt.notSent {
+		c.notifyObservers(func(o Observer) { o.AttemptEnded(attempt, status, c.now-attempt.sentAt) })
 	}
-	switch s {
+	switch status {
 	case balance.StatusOK:
 		c.answer(request, Answer{Verdict: Served, Result: result})
 	case balance.StatusInvalid:
 		c.answer(request, Answer{Verdict: Failed, InvalidRequest: true, Reason: "a worker turned the request itself away"})
 	}
-	c.balancer.AttemptDone(c.now, balance.AttemptResult{Job: request.job, Attempt: t.Index, Worker: t.Worker.ID, Status: s,
-		Elapsed: c.now - t.sent, JobDone: request.over, Report: balance.NoLoadReport()})
-	c.forget(request)
+	c.balancer.AttemptDone(c.now, balance.AttemptResult{Job: request.jobID, Attempt: attempt.Index,
+		Worker: attempt.Worker.ID, Status: status, Elapsed: c.now - attempt.sentAt, JobDone: request.finished, Report: balance.NoLoadReport()})
+	c.removeFinished(request)
 }
 
-// withdraw asks the driver to give an attempt up and keeps later attempts of the request from
-// that worker until it has.
-func (c *Core) withdraw(t *Attempt) {
-	if t.withdrawn || t.settled {
+// cancelAttempt asks the driver to cancel an attempt. Until the cancellation is settled, no later attempt
+// at the request is sent to the same worker.
+func (c *Core) cancelAttempt(attempt *Attempt) {
+	if attempt.cancelRequested || attempt.settled {
 		return
 	}
-	t.withdrawn = true
-	if t.Request.unsettled == nil {
-		t.Request.unsettled = map[balance.WorkerID]int{}
+	attempt.cancelRequested = true
+	if attempt.Request.unsettledCancels == nil {
+		attempt.Request.unsettledCancels = map[balance.WorkerID]int{}
 	}
-	t.Request.unsettled[t.Worker.ID]++
-	c.observe(func(o Observer) { o.AttemptCancelled(t) })
-	c.workers.Cancel(t)
+	attempt.Request.unsettledCancels[attempt.Worker.ID]++
+	c.notifyObservers(func(o Observer) { o.AttemptCancelled(attempt) })
+	c.workers.Cancel(attempt)
 }
--- a/dispatch/clock.go
+++ b/dispatch/clock.go
@@ -9,33 +9,33 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Clock tells the time since the Unix epoch. It is set once by the system's clock and
-// read monotonically from then on, so that starts told in Unix time can be compared with
-// it and a step of the system's clock can never turn it back.
+// Clock measures the time since the Unix epoch. It is set from the system clock once and advances
+// monotonically from then on. Its times can be compared with workers' start times, which are in Unix
+// time, and a step of the system clock never sets it back.
 type Clock struct {
 	start time.Time
 	base  time.Duration
 }
 
-// NewClock returns a clock set by the system's.
+// NewClock returns a Clock set from the system clock.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{start: now, base: time.Duration(now.UnixNano())}
 }
 
-// Now is the time since the Unix epoch.
+// Now returns the time since the Unix epoch.
 func (c Clock) Now() time.Duration { return c.base + time.Since(c.start) }
 
-// WorkerIDFromName maps a worker's name to the number that the balancer knows it by. Dispatchers
-// take turns at a cold worker by that number, so it must be the same at each of them: it
-// follows from the name alone, never from the order in which names were met.
+// WorkerIDFromName returns the ID that the balancer uses for the named worker. Dispatchers take turns
+// at sending to a cold worker by its ID, so all of them must compute the same one: it depends on the
+// name alone, not on the order in which names were first seen.
 func WorkerIDFromName(name string) balance.WorkerID {
-	if _, tail, ok := strings.Cut(name, "-"); ok && len(tail) == 8 {
-		if x, err := strconv.ParseUint(tail, 16, 32); err == nil {
-			return balance.WorkerID(x)
+	if _, suffix, ok := strings.Cut(name, "-"); ok && len(suffix) == 8 {
+		if id, err := strconv.ParseUint(suffix, 16, 32); err == nil {
+			return balance.WorkerID(id)
 		}
 	}
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a hash takes every byte
-	return balance.WorkerID(h.Sum64() | 1<<63)
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name)) // Write on a hash never fails
+	return balance.WorkerID(hash.Sum64() | 1<<63)
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -13,134 +13,143 @@
 )
 
 const (
-	doWithin = time.Second
-	mailbox  = 256 // events on their way to the core; further senders wait
-	// An answer is due before the client gives up. The balancer sees to that; should it
-	// not, the core fails the request this long after, inside the rules' slack.
-	overdue = 10 * time.Millisecond
-	// A cancel that a worker does not settle keeps its slot busy for this many connect
-	// time-outs; then the balancer is told that the attempt is cancelled.
-	cancelWaits = 2
-	// elsewhere is when a client may come back whose job would outlast this process: another
-	// dispatcher takes it at once.
-	elsewhere = 50 * time.Millisecond
-	// busyBack is when a client may come back that met too many open requests.
-	busyBack = time.Second
+	// doTimeout limits how long Do waits for the core.
+	doTimeout = time.Second
+	// eventQueueSize is the capacity of the event queue; further senders block.
+	eventQueueSize = 256
+	// The balancer must answer a request before the client's timeout. If it does not, the core
+	// fails the request this long after the timeout, which is within the tolerance of the rules.
+	answerGrace = 10 * time.Millisecond
+	// A cancellation that the worker does not settle occupies the worker's slot for this many
+	// connect timeouts. After that the balancer is told that the attempt is cancelled.
+	cancelConnectTimeouts = 2
+	// drainRetryAfter is the retry delay for a client whose request would outlast this process: another
+	// dispatcher accepts it at once.
+	drainRetryAfter = 50 * time.Millisecond
+	// overloadRetryAfter is the retry delay for a client whose request exceeds the limit of open requests.
+	overloadRetryAfter = time.Second
 )
 
-// Core is one dispatcher: a balancer and what it decides about.
+// Core is a dispatcher: it owns a balancer and the requests, attempts and workers that the balancer
+// decides about.
 type Core struct {
-	settings   balance.Settings
-	log        *slog.Logger
-	limitedLog *limitedlog.Logger // what clients cause, which must not flood the log
-	clock      Clock
-	virtual    func() time.Duration // the handed-in clock of a core that is not Run, else nil
-	turning    bool                 // inside a turn of such a core
-	workers    Driver
-	table      Discovery
-	hook       Hook
-	watching   []Observer
-	phases     []PhaseObserver // those of watching that are
-
-	events chan func()
-	closed chan struct{}
-	open   atomic.Int64 // requests without a final answer
-	counts counts
-	hand   *override.Set   // workers out by hand; nil for none
-	handed <-chan struct{} // a signal after each change of hand
-	heard  atomic.Uint64   // the generation of hand that the balancer has been told
-
-	// The rest is the goroutine's own.
-	balancer Policy
-	now      time.Duration
-	jobs     map[balance.JobID]*Request
-	ids      map[string]*Request // what workers and call-backs may still name
-	nextJob  balance.JobID
-	members  map[balance.WorkerID]Worker
-	deferred []func()
-	timers   timers
-	active   int
-	ends     time.Duration                      // when the process will end, 0 while that is not known
-	out      map[string]bool                    // names out by hand, as the balancer was told
-	back     map[balance.WorkerID]time.Duration // taken back by hand then: cold from then on
+	settings       balance.Settings
+	log            *slog.Logger
+	limitedLog     *limitedlog.Logger // for messages that clients can cause in any number
+	clock          Clock
+	virtualClock   func() time.Duration // Options.Clock; nil if Run owns the core
+	handling       bool                 // with a virtual clock: an event is being handled
+	workers        Driver
+	discovery      Discovery
+	hook           Hook
+	observers      []Observer
+	phaseObservers []PhaseObserver // those observers that implement PhaseObserver
+
+	events            chan func()
+	stopped           chan struct{}
+	openCount         atomic.Int64 // requests without a final answer
+	counts            counts
+	overrides         *override.Set   // workers detached by an operator; nil if that is not supported
+	overridesChanged  <-chan struct{} // receives a signal after each change of overrides
+	appliedGeneration atomic.Uint64   // the generation of overrides that the balancer knows
+
+	// The remaining fields belong to the core's goroutine.
+	balancer         Policy
+	now              time.Duration
+	requestsByJob    map[balance.JobID]*Request
+	requestsByID     map[string]*Request // requests whose ID workers and callbacks may still refer to
+	nextJob          balance.JobID
+	members          map[balance.WorkerID]Worker
+	deferred         []func()
+	timers           timers
+	attemptsInFlight int
+	processEnd       time.Duration                      // when the process will end; 0 if unknown
+	detached         map[string]bool                    // names of the detached workers, as the balancer knows them
+	reattachedAt     map[balance.WorkerID]time.Duration // when a worker was reattached: it is cold from then on
 }
 
-// Options are the parts that a Core works with. All but Settings may be left out.
+// Options configures a Core. Only Settings is required.
 type Options struct {
 	Settings  balance.Settings
 	Log       *slog.Logger
 	Hook      Hook
 	Observers []Observer
-	// Clock makes a core that is not Run: its methods do their work before they return, on the one
-	// goroutine that calls them, and Advance does what is due. The clock must never go back.
+	// Clock, if set, is a virtual clock for a core that is used without Run: its methods do their
+	// work before they return, on the single goroutine that calls them, and Advance fires the timers
+	// that are due. The clock must never go back.
 	Clock func() time.Duration
-	// Hand holds the workers out by hand, which may be shared by several cores. The core sends
-	// nothing new to them from the turn after the change, and tells it by OverridesApplied.
+	// Overrides is the set of workers detached by an operator. Several cores may share it. From the event
+	// after a change the core sends nothing new to a detached worker; OverrideGeneration reports
+	// which changes it has applied.
 	Overrides *override.Set
-	// Shares are what a fleet's budgets leave to this dispatcher; nil for none. A Policy is not handed them.
+	// Shares is this dispatcher's part of the fleet's budgets; nil if there are none. It is not passed
+	// to a Policy.
 	Shares balance.FleetBudget
-	// Policy makes what decides in place of balance, for experiments that set other policies
-	// beside it; balance.New where nil. The fronts of the daemon leave it nil.
+	// Policy creates the policy; nil means balance.New. Experiments use it to compare other policies
+	// with package balance. The daemon leaves it nil.
 	Policy func(balance.Settings, balance.Host) (Policy, error)
 }
 
-// Policy decides for a core: balance.Balancer in service, a comparison policy in experiments. The
-// core calls it on its own goroutine, and it acts through the Host alone.
+// Policy makes the decisions of a core. It is a balance.Balancer in production and may be another
+// policy in experiments. The core calls it on the core's goroutine, and it acts only through the
+// balance.Host.
 type Policy interface {
-	UpdateMembers(now time.Duration, how balance.UpdateKind, list []balance.Member)
-	SubmitJob(now time.Duration, j balance.Job)
+	UpdateMembers(now time.Duration, kind balance.UpdateKind, members []balance.Member)
+	SubmitJob(now time.Duration, job balance.Job)
 	TimerFired(now time.Duration, token uint64)
 	ClientGone(now time.Duration, id balance.JobID)
-	AttemptEvent(now time.Duration, id balance.JobID, attempt int, what balance.EventKind, share float64)
-	AttemptDone(now time.Duration, r balance.AttemptResult)
-	ProbeDone(now time.Duration, w balance.WorkerID, st balance.Status, took time.Duration, r balance.LoadReport)
+	AttemptEvent(now time.Duration, id balance.JobID, attempt int, kind balance.EventKind, progress float64)
+	AttemptDone(now time.Duration, result balance.AttemptResult)
+	ProbeDone(now time.Duration, worker balance.WorkerID, status balance.Status, elapsed time.Duration, report balance.LoadReport)
 	View(now time.Duration) balance.View
 }
 
-// New returns a core that does nothing until Connect and Run.
-func New(o Options) (*Core, error) {
-	c := &Core{virtual: o.Clock, settings: o.Settings, log: o.Log, hook: o.Hook, watching: o.Observers, clock: NewClock(),
-		events: make(chan func(), mailbox), closed: make(chan struct{}),
-		jobs: map[balance.JobID]*Request{}, ids: map[string]*Request{}, members: map[balance.WorkerID]Worker{},
-		hand: o.Overrides, out: map[string]bool{}, back: map[balance.WorkerID]time.Duration{}}
-	c.counts.classes = make([]classCounts, len(o.Settings.Classes))
-	if c.hand != nil {
-		c.handed = c.hand.Subscribe()
+// New returns a Core, which is idle until Connect and Run are called.
+func New(options Options) (*Core, error) {
+	c := &Core{virtualClock: options.Clock, settings: options.Settings, log: options.Log, hook: options.Hook,
+		observers: options.Observers, clock: NewClock(), events: make(chan func(), eventQueueSize), stopped: make(chan struct{}),
+		requestsByJob: map[balance.JobID]*Request{}, requestsByID: map[string]*Request{}, members: map[balance.WorkerID]Worker{},
+		overrides: options.Overrides, detached: map[string]bool{}, reattachedAt: map[balance.WorkerID]time.Duration{}}
+	c.counts.classes = make([]classCounts, len(options.Settings.Classes))
+	if c.overrides != nil {
+		c.overridesChanged = c.overrides.Subscribe()
 	}
 	if c.log == nil {
 		c.log = slog.New(slog.DiscardHandler)
 	}
 	c.limitedLog = limitedlog.New(c.log, nil)
-	for _, o := range o.Observers {
-		if p, ok := o.(PhaseObserver); ok {
-			c.phases = append(c.phases, p)
+	for _, observer := range options.Observers {
+		if p, ok := observer.(PhaseObserver); ok {
+			c.phaseObservers = append(c.phaseObservers, p)
 		}
 	}
 	var err error
-	if o.Policy != nil {
-		c.balancer, err = o.Policy(o.Settings, host{c})
+	if options.Policy != nil {
+		c.balancer, err = options.Policy(options.Settings, host{c})
 		return c, err
 	}
-	b, err := balance.New(o.Settings, host{c})
-	if err == nil && o.Shares != nil {
-		b.SetBudget(o.Shares)
+	b, err := balance.New(options.Settings, host{c})
+	if err == nil && options.Shares != nil {
+		b.SetBudget(options.Shares)
 	}
 	c.balancer = b
 	return c, err
 }
 
-// Connect gives the core its drivers, which in turn know the core.
-func (c *Core) Connect(r Driver, t Discovery) { c.workers, c.table = r, t }
+// Connect sets the driver and the discovery, which need the core for their own setup.
+func (c *Core) Connect(driver Driver, discovery Discovery) {
+	c.workers, c.discovery = driver, discovery
+}
 
-// Settings are those that the core was made with.
+// Settings returns the settings that the core was created with.
 func (c *Core) Settings() *balance.Settings { return &c.settings }
 
-// Open is the number of requests that are owed an answer.
-func (c *Core) Open() int { return int(c.open.Load()) }
+// OpenRequests returns the number of requests without a final answer.
+func (c *Core) OpenRequests() int { return int(c.openCount.Load()) }
 
-// Run owns the core until the context ends.
+// Run handles events and timers until the context is done.
 func (c *Core) Run(ctx context.Context) {
-	defer close(c.closed)
+	defer close(c.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -148,37 +157,38 @@
 		case <-ctx.Done():
 			return
 		case f := <-c.events:
-			c.turn(f)
+			c.handle(f)
 		case <-timer.C:
-			c.turn(func() {})
-		case <-c.handed: // beside the mailbox: a full one must not hold a ban up
-			c.turn(func() {})
+			c.handle(func() {})
+		case <-c.overridesChanged: // a separate channel, since a full event queue must not delay a detach
+			c.handle(func() {})
 		}
 		if len(c.timers) > 0 {
-			timer.Reset(max(0, c.timers[0].at-c.clock.Now()))
+			timer.Reset(max(0, c.timers[0].due-c.clock.Now()))
 		}
 	}
 }
 
-// Advance does what is due by the handed-in clock, for a core that is not Run, and tells when
-// something is due next; ok is false where nothing is.
+// Advance fires the timers that are due by Options.Clock, and returns when the next one is due. It
+// returns ok false if no timer is set.
 func (c *Core) Advance() (next time.Duration, ok bool) {
-	c.turn(func() {})
+	c.handle(func() {})
 	if len(c.timers) == 0 {
 		return 0, false
 	}
-	return c.timers[0].at, true
+	return c.timers[0].due, true
 }
 
-// turn handles one event, then whatever its actions left to do: outcomes of sends that
-// never left, which must not reach the balancer from inside its own action.
-func (c *Core) turn(f func()) {
+// handle handles one event, then the calls that the event has deferred and the timers that are due.
+// Calls are deferred if the balancer must not receive them within its own call of the host, such as
+// the outcome of an attempt that is not sent.
+func (c *Core) handle(f func()) {
 	c.now = c.clock.Now()
-	if c.virtual != nil {
-		c.now, c.turning = c.virtual(), true
-		defer func() { c.turning = false }()
+	if c.virtualClock != nil {
+		c.now, c.handling = c.virtualClock(), true
+		defer func() { c.handling = false }()
 	}
-	if c.hand != nil && c.hand.Generation() != c.heard.Load() {
+	if c.overrides != nil && c.overrides.Generation() != c.appliedGeneration.Load() {
 		c.applyOverrides()
 	}
 	f()
@@ -188,7 +198,7 @@
 			c.deferred = c.deferred[1:]
 			next()
 		}
-		if len(c.timers) == 0 || c.timers[0].at > c.now {
+		if len(c.timers) == 0 || c.timers[0].due > c.now {
 			return
 		}
 		due := heap.Pop(&c.timers).(*timer)
@@ -196,23 +206,26 @@
 	}
 }
 
+// post queues f for the core's goroutine. It blocks while the queue is full and drops f once the core
+// has stopped. With a virtual clock, f runs before post returns, or after the current event if post is
+// called from within one.
 func (c *Core) post(f func()) {
-	if c.virtual != nil {
-		if c.turning { // from inside one of the core's own calls: after it
+	if c.virtualClock != nil {
+		if c.handling {
 			c.deferred = append(c.deferred, f)
 		} else {
-			c.turn(f)
+			c.handle(f)
 		}
 		return
 	}
 	select {
 	case c.events <- f:
-	case <-c.closed:
+	case <-c.stopped:
 	}
 }
 
-func (c *Core) observe(tell func(Observer)) {
-	for _, o := range c.watching {
-		tell(o)
+func (c *Core) notifyObservers(notify func(Observer)) {
+	for _, o := range c.observers {
+		notify(o)
 	}
 }
--- a/dispatch/counts.go
+++ b/dispatch/counts.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// ClassCounts are the final answers of one class since the core began, and its attempts
-// that were written whole.
+// ClassCounts counts the final answers of one class since the core was created, and the attempts
+// that were completely written to a worker.
 type ClassCounts struct {
 	Served, Refused, Failed, AttemptsWritten int64
 }
 
-// counts are the core's counters. They are counted where the outcome is decided, once, and
-// any goroutine may read them.
+// counts holds the counters of a core. Each final answer is counted once, where it is decided. Any
+// goroutine may read the counters.
 type counts struct {
 	classes []classCounts
 }
@@ -18,39 +18,41 @@
 	served, refused, failed, written atomic.Int64
 }
 
-func (c *counts) of(class int) *classCounts {
+// forClass returns the counters of a class, or nil for an unknown class.
+func (c *counts) forClass(class int) *classCounts {
 	if class < 0 || class >= len(c.classes) {
 		return nil
 	}
 	return &c.classes[class]
 }
 
-func (c *counts) answered(class int, v Verdict) {
-	k := c.of(class)
-	if k == nil {
+// add counts a final answer.
+func (c *counts) add(class int, verdict Verdict) {
+	counters := c.forClass(class)
+	if counters == nil {
 		return
 	}
-	switch v {
+	switch verdict {
 	case Served:
-		k.served.Add(1)
+		counters.served.Add(1)
 	case Refused:
-		k.refused.Add(1)
+		counters.refused.Add(1)
 	default:
-		k.failed.Add(1)
+		counters.failed.Add(1)
 	}
 }
 
-// Counts returns the counters by class, in the order of the settings.
+// Counts returns the counters of each class, in the order of the settings.
 func (c *Core) Counts() []ClassCounts {
 	all := make([]ClassCounts, len(c.counts.classes))
 	for i := range c.counts.classes {
-		k := &c.counts.classes[i]
-		all[i] = ClassCounts{Served: k.served.Load(), Refused: k.refused.Load(), Failed: k.failed.Load(),
-			AttemptsWritten: k.written.Load()}
+		counters := &c.counts.classes[i]
+		all[i] = ClassCounts{Served: counters.served.Load(), Refused: counters.refused.Load(), Failed: counters.failed.Load(),
+			AttemptsWritten: counters.written.Load()}
 	}
 	return all
 }
 
-// WorkerCounts are the workers that discovery lists, and of them those that the core avoids
-// now: drained, out by hand, or held back by the policy.
+// WorkerCounts counts the workers that discovery lists, and those among them that the core avoids at
+// present: draining, detached by an operator, or held back by the policy.
 type WorkerCounts struct{ Listed, Unavailable int }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,11 +1,11 @@
-// Package dispatch is the embeddable core of the dispatcher. It deals in requests, the
-// attempts at them and their outcomes, and knows no wire: servers of each protocol hand it requests
-// and are given one final answer for each, and drivers carry attempts to workers and keep the
-// membership list of discovery.
+// Package dispatch is the embeddable core of the dispatcher. It handles requests, their attempts
+// and the outcomes, independently of any protocol: protocol servers submit requests and receive one
+// final answer for each, a Driver sends attempts to workers, and a Discovery maintains the
+// membership list.
 //
-// One goroutine, Core.Run, owns the balance.Balancer, the requests, the attempts
-// and all timers. Every other goroutine speaks to it through the methods of Core, which
-// may block for a moment while the core is busy; the core itself never waits for anyone.
+// One goroutine, Core.Run, owns the balance.Balancer, the requests, the attempts and all timers.
+// Every other goroutine calls the methods of Core, which may block briefly while the core is busy.
+// The core itself never blocks on another goroutine.
 package dispatch
 
 import (
@@ -15,10 +15,10 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Verdict is the kind of a final answer.
+// Verdict classifies a final answer.
 type Verdict uint8
 
-// The verdicts. Only a Refused one tells the client that trying again is harmless.
+// The verdicts. Only Refused tells the client that a retry is safe.
 const (
 	Served Verdict = iota
 	Refused
@@ -27,208 +27,214 @@
 
 func (v Verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
 
-// Answer is the one final answer of a request.
+// Answer is the final answer to a request. Every request gets exactly one.
 type Answer struct {
 	Verdict        Verdict
-	Result         []byte        // Served: what the worker gave
-	RetryAfter     time.Duration // Refused: when to come back, 0 for no advice
-	TimedOut       bool          // Failed: its time had run out
-	InvalidRequest bool          // Failed: the request itself is at fault, and would fail again
-	Reason         string        // not served: why, in a few words
+	Result         []byte        // Served: the worker's result
+	RetryAfter     time.Duration // Refused: how long the client should wait before a retry; 0 if unspecified
+	TimedOut       bool          // Failed: the deadline passed
+	InvalidRequest bool          // Failed: the request itself is invalid, so a retry would fail too
+	Reason         string        // Refused and Failed: a short explanation
 }
 
-// Client is the client's side of one request. Answer is called once at most, from
-// the core's goroutine, and must not block.
+// Client receives the answer to one request. Answer is called at most once, on the core's goroutine
+// or within Submit, and must not block.
 type Client interface {
 	Answer(Answer)
 }
 
-// ProgressReceiver is a Client that wants to hear of progress: the share done, 0 at the
-// start. Several attempts of a request may tell of theirs. The same terms hold as
-// for Answer.
+// ProgressReceiver is implemented by a Client that wants progress reports. Progress receives the
+// fraction of the work that is done, 0 at the start. Several attempts at a request may report
+// progress. It is called on the core's goroutine and must not block.
 type ProgressReceiver interface {
 	Progress(share float64)
 }
 
-// Request is a client's request as a protocol's server submits it. The exported fields are the front's
-// to set before Submit and no one's to change after.
+// Request is a client's request, as submitted by a protocol server. The server sets the exported
+// fields before Submit; nothing may change them afterwards, except where a field says otherwise.
 type Request struct {
-	ID           string // the client's name for it
+	ID           string // assigned by the client
 	Class        int
 	Tenant       int // -1 for none
 	Key          string
-	Timeout      time.Duration // until the client gives up
+	Timeout      time.Duration // how long the client waits for the answer
 	WorkHint     time.Duration // expected work, 0 for none
 	Slots        float64
 	Memory       float64
-	Payload      any // the front's own; drivers find it at each attempt
+	Payload      any // belongs to the protocol server; available to the driver in each attempt
 	Client       Client
-	TraceParent  string                // a traceparent that the client sent, or empty
-	TraceState   string                // a tracestate that came with it, or empty
-	PriorAttempt *balance.PriorAttempt // an attempt from before the Submit that may have run, or nil
+	TraceParent  string                // the client's traceparent header, or empty
+	TraceState   string                // the client's tracestate header, or empty
+	PriorAttempt *balance.PriorAttempt // an attempt made before Submit that may have run, or nil
 
-	// Asked is when Submit was called, and Hooked how long the hook took; Submit sets them.
+	// Submit sets SubmittedAt to the time of its call and HookDuration to the time that the hook took.
 	SubmittedAt  time.Time
 	HookDuration time.Duration
-	// Wrote is where the front notes that the answer is written; nil where no one asks.
+	// Delivery records when the answer was written to the client. Submit sets it if there is a
+	// PhaseObserver; otherwise it is nil.
 	Delivery *Delivery
 
-	job       balance.JobID
-	end       time.Duration
-	attempts  []*Attempt
-	out       int
-	over      bool
-	guard     *timer
-	unsettled map[balance.WorkerID]int
-}
-
-// spent tells whether the attempts, counting the one just added, are more than the most
-// attempts. One whose connection never came up arrived nowhere and is none; attempts of all
-// kinds stop at three times as many. The balancer counts alike.
-func (request *Request) spent(most int) bool {
-	n := 0
-	for _, t := range request.attempts {
-		if !t.unreached {
-			n++
+	jobID            balance.JobID
+	deadline         time.Duration // on the core's clock
+	attempts         []*Attempt
+	attemptsInFlight int
+	finished         bool
+	timeoutTimer     *timer
+	unsettledCancels map[balance.WorkerID]int // attempts whose cancellation is not settled, by worker
+}
+
+// attemptsExhausted reports whether the attempts, including the one just added, exceed maxAttempts. An
+// attempt whose connection was never established did not reach a worker and is not counted, but all
+// attempts together are limited to three times maxAttempts. The balancer counts in the same way.
+func (r *Request) attemptsExhausted(maxAttempts int) bool {
+	counted := 0
+	for _, attempt := range r.attempts {
+		if !attempt.neverConnected {
+			counted++
 		}
 	}
-	return n > most || len(request.attempts) > 3*most
+	return counted > maxAttempts || len(r.attempts) > 3*maxAttempts
 }
 
-// Worker is one entry of the membership list.
+// Worker is an entry of the membership list.
 type Worker struct {
 	balance.Member
 	Name string
 	Addr string
 }
 
-// Attempt is one attempt at a request, at one worker.
+// Attempt is one attempt to have a worker serve a request.
 type Attempt struct {
 	Request    *Request
 	Index      int
 	Worker     Worker
-	Timeout    time.Duration // how long the core will wait for it
-	SameWorker bool          // an earlier attempt of the request went to this worker, and has ended
-	// Trace is a traceparent to hand to the worker, where the front has a place for it. An
-	// observer may set it when the attempt is Sent, and no one later.
+	Timeout    time.Duration // how long the core waits for the outcome
+	SameWorker bool          // an earlier attempt at the request went to this worker and has ended
+	// TraceParent is the traceparent sent to the worker, if the protocol has a field for it. Only an
+	// observer may set it, and only in AttemptSent.
 	TraceParent string
 
-	sentAt    time.Time // when Wait was counted from, by the system's clock
-	marks     [marks]atomic.Int64
-	sent      time.Duration
-	done      bool // its outcome has been given to the balancer
-	settled   bool // the driver holds nothing of it any more
-	withdrawn bool
-	unsent    bool // it never left: the driver was not told of it
-	started   bool
-	unreached bool // its connection never came up: it arrived nowhere, and is no attempt
-	limit     *timer
-	counted   *classCounts // where its being written whole is counted
-}
-
-// Remaining is what is left of Wait: an attempt may have waited for its connection. It is what a
-// worker is told, which would otherwise work on for a client that has given up.
-func (t *Attempt) Remaining() time.Duration {
-	return max(0, t.Timeout-time.Since(t.sentAt))
-}
-
-// Delivery is the instant at which an answer's last byte was written, or could not be. Any
-// goroutine may set and read it.
-type Delivery struct{ at, failed atomic.Int64 }
-
-// Record notes the instant, once.
-func (w *Delivery) Record(whole bool) {
-	to := &w.at
+	createdAt       time.Time // when Timeout began, by the system clock
+	eventTimes      [attemptEventCount]atomic.Int64
+	sentAt          time.Duration // on the core's clock
+	done            bool          // the balancer has been told the outcome
+	settled         bool          // the driver has released it
+	cancelRequested bool          // the driver has been asked to cancel it
+	notSent         bool          // it was never passed to the driver
+	started         bool          // the worker has reported that it began
+	neverConnected  bool          // the connection was never established, so it does not count as an attempt
+	timeoutTimer    *timer
+	counts          *classCounts // the counters of the request's class
+}
+
+// Remaining returns the unused part of Timeout. It is less than Timeout if the attempt has waited
+// for a connection. Drivers send it to the worker, which would otherwise keep working for a client
+// that no longer waits.
+func (a *Attempt) Remaining() time.Duration {
+	return max(0, a.Timeout-time.Since(a.createdAt))
+}
+
+// Delivery records when the last byte of an answer was written, or when writing it failed. It is
+// safe for concurrent use.
+type Delivery struct{ completed, failed atomic.Int64 }
+
+// Record sets the time of completion or, if whole is false, of failure to now. Only the first call for
+// each of the two has an effect.
+func (d *Delivery) Record(whole bool) {
+	target := &d.completed
 	if !whole {
-		to = &w.failed
+		target = &d.failed
 	}
-	to.CompareAndSwap(0, int64(time.Since(origin)))
+	target.CompareAndSwap(0, int64(time.Since(timeOrigin)))
 }
 
-// Time returns the instant, or false where nothing has been told.
-func (w *Delivery) Time() (at time.Time, whole, ok bool) {
-	if d := w.at.Load(); d != 0 {
-		return origin.Add(time.Duration(d)), true, true
+// Time returns the recorded time and whether the answer was written completely. It returns ok false
+// if nothing has been recorded.
+func (d *Delivery) Time() (at time.Time, whole, ok bool) {
+	if offset := d.completed.Load(); offset != 0 {
+		return timeOrigin.Add(time.Duration(offset)), true, true
 	}
-	d := w.failed.Load()
-	return origin.Add(time.Duration(d)), false, d != 0
+	offset := d.failed.Load()
+	return timeOrigin.Add(time.Duration(offset)), false, offset != 0
 }
 
-// AttemptEvent is an instant on an attempt's way that its driver knows.
+// AttemptEvent is a step of an attempt that its driver observes.
 type AttemptEvent uint8
 
-// The marks, in the order of the way. The first three are the driver's to set, the last is set
-// by Ended.
+// The events of an attempt, in order of occurrence. The driver records the first three,
+// Core.AttemptEnded records the last.
 const (
-	Connected AttemptEvent = iota // it has a connection
-	Written                       // the last byte has been written
-	Accepted                      // the worker has taken it
-	Reported                      // the driver has learned of its end
-	marks
+	Connected AttemptEvent = iota // a connection is assigned
+	Written                       // the last byte of the request has been written
+	Accepted                      // the worker has accepted it
+	Reported                      // the driver has learned the outcome
+	attemptEventCount
 )
 
-var origin = time.Now()
+// timeOrigin is the base of the recorded times, which are stored as monotonic offsets from it.
+var timeOrigin = time.Now()
 
-// RecordEvent sets a mark to now, unless it is set. Any goroutine may call it.
-func (t *Attempt) RecordEvent(m AttemptEvent) {
-	if t.marks[m].CompareAndSwap(0, int64(time.Since(origin))) && m == Written && t.counted != nil {
-		t.counted.written.Add(1)
+// RecordEvent records the current time as that of the event, unless the event has one already. It is
+// safe for concurrent use.
+func (a *Attempt) RecordEvent(event AttemptEvent) {
+	if a.eventTimes[event].CompareAndSwap(0, int64(time.Since(timeOrigin))) && event == Written && a.counts != nil {
+		a.counts.written.Add(1)
 	}
 }
 
-// EventTime is when a mark was set, the zero time where it was not.
-func (t *Attempt) EventTime(m AttemptEvent) time.Time {
-	if d := t.marks[m].Load(); d != 0 {
-		return origin.Add(time.Duration(d))
+// EventTime returns the recorded time of an event, or the zero time if there is none.
+func (a *Attempt) EventTime(event AttemptEvent) time.Time {
+	if offset := a.eventTimes[event].Load(); offset != 0 {
+		return timeOrigin.Add(time.Duration(offset))
 	}
 	return time.Time{}
 }
 
-// Driver carries attempts to workers. Its methods are called from the core's goroutine and must
-// not block. For each Start the driver calls Core.Ended; after Cancel it does so when the
-// worker can no longer take the attempt up, with balance.StatusCancelled unless it learned of
-// another outcome, and never if it cannot find out. Until then the core sends the
-// request's later attempts elsewhere, and it keeps all time limits itself.
+// Driver sends attempts to workers. Its methods are called on the core's goroutine and must not
+// block. For each Start the driver calls Core.AttemptEnded. After Cancel it does so once the worker
+// can no longer run the attempt, with balance.StatusCancelled unless it learned of another outcome,
+// and never if it cannot find out. Until then the core sends later attempts at the request to other
+// workers. The core enforces all time limits itself.
 type Driver interface {
 	Start(*Attempt)
 	Cancel(*Attempt)
-	// Listed tells which workers there are, whenever that changes.
+	// UpdateMembers passes the complete list of workers after each change.
 	UpdateMembers([]Worker)
 }
 
-// Discovery keeps the membership list. Watch subscribes to changes from now on; what was missed comes
-// first, by Core.UpdateMembers, and a failure by Core.UpdateFailed. Fetch asks for the whole list
-// once. Neither blocks.
+// Discovery maintains the membership list. Watch subscribes to changes: missed changes arrive
+// first, through Core.UpdateMembers, and failures through Core.DiscoveryFailed. Fetch requests the
+// complete list once. Neither method blocks.
 type Discovery interface {
 	Watch()
 	Fetch()
 }
 
-// Hook looks at a request before the core does, on the goroutine that submits it. It
-// may set Tenant and Hint, or refuse: then nothing is sent, and the answer says why. It
-// never chooses a worker.
+// Hook inspects each request before the core processes it, on the goroutine that submits it. It may
+// set Tenant and WorkHint, or refuse the request: then nothing is sent to a worker and the returned
+// answer states the reason. It cannot choose a worker.
 type Hook interface {
 	OnRequest(request *Request) (refused *Answer)
 }
 
-// PhaseObserver is an Observer that is told of more, on the same terms: that a worker has begun
-// with an attempt, and of drains. What a front tells of an answer's way to its client is in
-// Request.Wrote, and asks nothing of the core.
+// PhaseObserver is an Observer that is also notified when a worker starts an attempt and when a
+// worker drains. Its methods are called on the core's goroutine and must not block. The delivery of
+// the answer to the client is recorded in Request.Delivery, without involving the core.
 type PhaseObserver interface {
-	AttemptStarted(t *Attempt)
-	// Drained tells that discovery has named a worker as draining or gone that served
-	// before: nothing new is sent there from now on.
-	WorkerDrained(r Worker)
+	AttemptStarted(attempt *Attempt)
+	// WorkerDrained reports that discovery lists a worker as draining or gone that was serving before.
+	// Nothing new is sent to it from now on.
+	WorkerDrained(worker Worker)
 }
 
-// Observer is told of what the core does, from the core's goroutine; it must not block.
-// Every request that Began is either Answered or has Left, and every attempt that was
-// Sent has Ended, perhaps after that.
+// Observer is notified of the lifecycle of requests and attempts. Its methods are called on the
+// core's goroutine and must not block. Each RequestStarted is followed by either RequestAnswered or
+// RequestCancelled, and each AttemptSent by AttemptEnded, possibly after the request is over.
 type Observer interface {
 	RequestStarted(request *Request)
-	AttemptSent(t *Attempt)
-	AttemptCancelled(t *Attempt)
-	AttemptEnded(t *Attempt, s balance.Status, elapsed time.Duration)
-	RequestAnswered(request *Request, a Answer)
+	AttemptSent(attempt *Attempt)
+	AttemptCancelled(attempt *Attempt)
+	AttemptEnded(attempt *Attempt, status balance.Status, elapsed time.Duration)
+	RequestAnswered(request *Request, answer Answer)
 	RequestCancelled(request *Request)
 }
--- a/dispatch/host.go
+++ b/dispatch/host.go
@@ -7,79 +7,84 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// host carries out what the balancer decides. It is apart from Core so that a Core's users
-// do not see these methods.
+// host implements balance.Host: it executes the decisions of the balancer. It is separate from Core
+// to keep these methods out of Core's exported API.
 type host struct{ *Core }
 
-func (h host) Send(job balance.JobID, to balance.WorkerID, timeout time.Duration) {
-	request := h.jobs[job]
+func (h host) Send(job balance.JobID, workerID balance.WorkerID, timeout time.Duration) {
+	request := h.requestsByJob[job]
 	if request == nil {
 		return
 	}
-	t := &Attempt{Request: request, Index: len(request.attempts), sent: h.now, Timeout: request.end - h.now, sentAt: time.Now(), counted: h.counts.of(request.Class)}
+	attempt := &Attempt{Request: request, Index: len(request.attempts), sentAt: h.now, Timeout: request.deadline - h.now,
+		createdAt: time.Now(), counts: h.counts.forClass(request.Class)}
 	if timeout > 0 {
-		t.Timeout = min(t.Timeout, timeout)
+		attempt.Timeout = min(attempt.Timeout, timeout)
 	}
-	t.SameWorker = slices.ContainsFunc(request.attempts, func(o *Attempt) bool { return o.Worker.ID == to && !o.unsent })
-	request.attempts = append(request.attempts, t)
-	request.out++
-	h.active++
-	worker, known := h.members[to]
-	t.Worker = worker
-	t.Worker.ID = to
-	// A worker receives one attempt of a request at a time: while an earlier one there
-	// is not settled, none is sent.
-	// One out by hand gets nothing new, whatever the balancer was told: this guards the ban.
-	if !known || request.over || t.Timeout <= 0 || request.spent(h.settings.MaxAttempts) || request.unsettled[to] > 0 ||
-		h.out[worker.Name] {
-		t.settled, t.unsent = true, true
-		h.deferred = append(h.deferred, func() { h.ended(t, balance.StatusNotSent, nil) })
+	attempt.SameWorker = slices.ContainsFunc(request.attempts, func(other *Attempt) bool {
+		return other.Worker.ID == workerID && !other.notSent
+	})
+	request.attempts = append(request.attempts, attempt)
+	request.attemptsInFlight++
+	h.attemptsInFlight++
+	worker, known := h.members[workerID]
+	attempt.Worker = worker
+	attempt.Worker.ID = workerID
+	// A worker must not hold two attempts at one request at a time, so nothing is sent while an
+	// earlier one is unsettled. A detached worker gets nothing, even if the balancer chooses it.
+	if !known || request.finished || attempt.Timeout <= 0 || request.attemptsExhausted(h.settings.MaxAttempts) ||
+		request.unsettledCancels[workerID] > 0 || h.detached[worker.Name] {
+		attempt.settled, attempt.notSent = true, true
+		h.deferred = append(h.deferred, func() { h.finishAttempt(attempt, balance.StatusNotSent, nil) })
 		return
 	}
-	t.limit = h.after(t.Timeout, func() {
-		if !t.done {
-			h.withdraw(t)
-			h.ended(t, balance.StatusTimeout, nil)
+	attempt.timeoutTimer = h.schedule(attempt.Timeout, func() {
+		if !attempt.done {
+			h.cancelAttempt(attempt)
+			h.finishAttempt(attempt, balance.StatusTimeout, nil)
 		}
 	})
-	h.observe(func(o Observer) { o.AttemptSent(t) })
-	h.workers.Start(t)
+	h.notifyObservers(func(other Observer) { other.AttemptSent(attempt) })
+	h.workers.Start(attempt)
 }
 
-func (h host) Cancel(job balance.JobID, attempt int) {
-	request := h.jobs[job]
-	if request == nil || attempt < 0 || attempt >= len(request.attempts) || request.attempts[attempt].done {
+func (h host) Cancel(job balance.JobID, index int) {
+	request := h.requestsByJob[job]
+	if request == nil || index < 0 || index >= len(request.attempts) || request.attempts[index].done {
 		return
 	}
-	t := request.attempts[attempt]
-	h.withdraw(t)
-	h.stop(t.limit)
-	t.limit = h.after(cancelWaits*h.settings.ConnectTimeout, func() { h.ended(t, balance.StatusCancelled, nil) })
+	attempt := request.attempts[index]
+	h.cancelAttempt(attempt)
+	h.stopTimer(attempt.timeoutTimer)
+	attempt.timeoutTimer = h.schedule(cancelConnectTimeouts*h.settings.ConnectTimeout, func() {
+		h.finishAttempt(attempt, balance.StatusCancelled, nil)
+	})
 }
 
 func (h host) Refuse(job balance.JobID, backoff time.Duration) {
-	if request := h.jobs[job]; request != nil {
+	if request := h.requestsByJob[job]; request != nil {
 		h.answer(request, Answer{Verdict: Refused, RetryAfter: backoff, Reason: "no worker can serve it in time"})
 	}
 }
 
 func (h host) Fail(job balance.JobID) {
-	if request := h.jobs[job]; request != nil {
-		h.answer(request, Answer{Verdict: Failed, TimedOut: h.now >= request.end-overdue, Reason: "not served, and it may have run"})
+	if request := h.requestsByJob[job]; request != nil {
+		h.answer(request, Answer{Verdict: Failed, TimedOut: h.now >= request.deadline-answerGrace,
+			Reason: "not served, and it may have run"})
 	}
 }
 
 func (h host) SetTimer(after time.Duration, token uint64) {
-	h.after(after, func() { h.balancer.TimerFired(h.now, token) })
+	h.schedule(after, func() { h.balancer.TimerFired(h.now, token) })
 }
 
-func (h host) Watch() { h.table.Watch() }
-func (h host) Fetch() { h.table.Fetch() }
+func (h host) Watch() { h.discovery.Watch() }
+func (h host) Fetch() { h.discovery.Fetch() }
 
-// SendToPeer and Probe are for sites that allow messages between dispatchers or probes; the
-// fronts have neither, and the configuration turns both off.
+// SendToPeer and Probe are for deployments in which dispatchers exchange messages or probe workers. The
+// protocol servers support neither, and the configuration disables both.
 func (h host) SendToPeer(to int, data []byte) {
-	h.log.Debug("no way to tell", "to", to, "bytes", len(data))
+	h.log.Debug("message to a peer dropped: the dispatcher has no channel to its peers", "to", to, "bytes", len(data))
 }
 
 func (h host) Probe(w balance.WorkerID) {
@@ -88,4 +93,4 @@
 	})
 }
 
-func (h host) Log(text string) { h.log.Info("policy", "says", text) }
+func (h host) Log(text string) { h.log.Info("policy message", "says", text) }
--- a/dispatch/membership.go
+++ b/dispatch/membership.go
@@ -6,89 +6,89 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// UpdateMembers takes word of discovery.
-func (c *Core) UpdateMembers(how balance.UpdateKind, list []Worker) {
+// UpdateMembers applies a membership update from discovery.
+func (c *Core) UpdateMembers(kind balance.UpdateKind, list []Worker) {
 	c.post(func() {
-		before := c.members
-		if how != balance.UpdateDelta {
+		previous := c.members
+		if kind != balance.UpdateDelta {
 			c.members = make(map[balance.WorkerID]Worker, len(list))
 		}
 		members := make([]balance.Member, len(list))
-		for i, r := range list {
-			members[i] = c.overridden(r)
-			if was, ok := before[r.ID]; ok && was.State == balance.Serving && r.State != balance.Serving {
-				for _, p := range c.phases {
-					p.WorkerDrained(r)
+		for i, worker := range list {
+			members[i] = c.effectiveMember(worker)
+			if old, ok := previous[worker.ID]; ok && old.State == balance.Serving && worker.State != balance.Serving {
+				for _, observer := range c.phaseObservers {
+					observer.WorkerDrained(worker)
 				}
 			}
-			if r.State == balance.Gone {
-				delete(c.members, r.ID)
+			if worker.State == balance.Gone {
+				delete(c.members, worker.ID)
 			} else {
-				c.members[r.ID] = r
+				c.members[worker.ID] = worker
 			}
 		}
 		all := make([]Worker, 0, len(c.members))
 		names := make([]string, 0, len(c.members))
-		for _, r := range c.members {
-			all = append(all, r)
-			names = append(names, r.Name)
+		for _, worker := range c.members {
+			all = append(all, worker)
+			names = append(names, worker.Name)
 		}
-		if c.hand != nil {
-			c.hand.RecordListed(time.Now(), names...)
+		if c.overrides != nil {
+			c.overrides.RecordListed(time.Now(), names...)
 		}
 		c.workers.UpdateMembers(all)
-		c.balancer.UpdateMembers(c.now, how, members)
+		c.balancer.UpdateMembers(c.now, kind, members)
 	})
 }
 
-// overridden is what the balancer is told of a worker: one out by hand is draining, whatever the
-// table says, and one taken back is as cold as a new start, since it was restarted meanwhile.
-func (c *Core) overridden(r Worker) balance.Member {
-	m := r.Member
-	if c.out[r.Name] && m.State == balance.Serving {
-		m.State = balance.Draining
+// effectiveMember returns the membership entry of a worker as the balancer is to see it. A detached worker
+// is draining, regardless of discovery. A reattached worker is cold like a newly started one, since it
+// was restarted in the meantime.
+func (c *Core) effectiveMember(worker Worker) balance.Member {
+	member := worker.Member
+	if c.detached[worker.Name] && member.State == balance.Serving {
+		member.State = balance.Draining
 	}
-	if at, ok := c.back[r.ID]; ok {
-		if m.StartedAt >= at { // a start after the call back is the table's own word
-			delete(c.back, r.ID)
+	if reattached, ok := c.reattachedAt[worker.ID]; ok {
+		if member.StartedAt >= reattached { // discovery has reported a start after the reattachment
+			delete(c.reattachedAt, worker.ID)
 		} else {
-			m.StartedAt = at
+			member.StartedAt = reattached
 		}
 	}
-	return m
+	return member
 }
 
-// applyOverrides tells the balancer of changes of the workers out by hand. It comes first in a turn,
-// before the turn's event: what is decided in it obeys the ban.
+// applyOverrides informs the balancer of workers that have been detached or reattached. It runs before
+// each event, so that the decisions on that event respect the change.
 func (c *Core) applyOverrides() {
-	state := c.hand.State()
-	out := make(map[string]bool, len(state.Detached))
+	state := c.overrides.State()
+	detached := make(map[string]bool, len(state.Detached))
 	for _, name := range state.Detached {
-		out[name] = true
+		detached[name] = true
 	}
 	var changed []balance.Member
-	for id, r := range c.members {
-		if out[r.Name] == c.out[r.Name] {
+	for id, worker := range c.members {
+		if detached[worker.Name] == c.detached[worker.Name] {
 			continue
 		}
-		if !out[r.Name] {
-			c.back[id] = max(c.now, time.Nanosecond) // 0 would mean long ago
+		if !detached[worker.Name] {
+			c.reattachedAt[id] = max(c.now, time.Nanosecond) // 0 means that the worker started long ago
 		}
-		c.out[r.Name] = out[r.Name]
-		changed = append(changed, c.overridden(r))
+		c.detached[worker.Name] = detached[worker.Name]
+		changed = append(changed, c.effectiveMember(worker))
 	}
-	c.out = out // also the names that the table does not list now: the ban holds when they return
-	c.heard.Store(state.Generation)
+	c.detached = detached // includes unlisted workers: they are still detached if discovery lists them again
+	c.appliedGeneration.Store(state.Generation)
 	if len(changed) > 0 {
 		c.balancer.UpdateMembers(c.now, balance.UpdateDelta, changed)
 	}
 }
 
-// OverrideGeneration is the generation of the workers out by hand that the core obeys.
-func (c *Core) OverrideGeneration() uint64 { return c.heard.Load() }
+// OverrideGeneration returns the generation of Options.Overrides that the core has applied.
+func (c *Core) OverrideGeneration() uint64 { return c.appliedGeneration.Load() }
 
-// DiscoveryFailed takes word that an inquiry of discovery failed, or that the
-// subscription broke.
+// DiscoveryFailed records that a discovery query failed or that the subscription was lost.
 func (c *Core) DiscoveryFailed() {
 	c.post(func() { c.balancer.UpdateMembers(c.now, balance.UpdateFailed, nil) })
 }
--- a/dispatch/requests.go
+++ b/dispatch/requests.go
@@ -6,156 +6,160 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Submit hands over a request. From then on its Client is owed one answer, unless
-// Leave comes first. What a hook refuses, and what comes while too many are open, is
-// answered here and sent nowhere.
+// Submit submits a request. Its Client then receives one answer, unless CancelRequest is called
+// first. Submit itself refuses requests that the hook refuses or that exceed the limit of open
+// requests; they reach no worker.
 func (c *Core) Submit(request *Request) {
 	request.SubmittedAt = time.Now()
-	if len(c.phases) > 0 {
+	if len(c.phaseObservers) > 0 {
 		request.Delivery = &Delivery{}
 	}
 	if c.hook != nil {
-		a := c.hook.OnRequest(request)
+		refusal := c.hook.OnRequest(request)
 		request.HookDuration = time.Since(request.SubmittedAt)
-		if a != nil {
-			c.tell(request, *a)
+		if refusal != nil {
+			c.deliver(request, *refusal)
 			return
 		}
 	}
-	if int(c.open.Add(1)) > c.settings.MaxOpenJobs && c.settings.MaxOpenJobs > 0 {
-		c.open.Add(-1)
-		c.limitedLog.Report("refused", nil, "too many open", "id", request.ID, "open", c.settings.MaxOpenJobs)
-		c.tell(request, Answer{Verdict: Refused, RetryAfter: min(busyBack, c.settings.MaxRetryAfter),
+	if int(c.openCount.Add(1)) > c.settings.MaxOpenJobs && c.settings.MaxOpenJobs > 0 {
+		c.openCount.Add(-1)
+		c.limitedLog.Report("request refused", nil, "too many open", "id", request.ID, "open", c.settings.MaxOpenJobs)
+		c.deliver(request, Answer{Verdict: Refused, RetryAfter: min(overloadRetryAfter, c.settings.MaxRetryAfter),
 			Reason: "too many open requests"})
 		return
 	}
-	c.post(func() { c.begin(request) })
+	c.post(func() { c.startRequest(request) })
 }
 
-func (c *Core) begin(request *Request) {
-	if request.over { // it was given up by another goroutine than the one that submits it
-		c.open.Add(-1)
+func (c *Core) startRequest(request *Request) {
+	if request.finished { // CancelRequest came first, from another goroutine
+		c.openCount.Add(-1)
 		return
 	}
-	// Workers and their call-backs know a request by its id alone: a second one of an id that
-	// is open would take the first one's outcome, or have it cancelled.
-	if c.ids[request.ID] != nil {
-		c.limitedLog.Report("id in use", nil, "id", "id", request.ID)
-		request.over = true
-		c.open.Add(-1)
-		c.tell(request, Answer{Verdict: Failed, InvalidRequest: true, Reason: "a request of this id is open"})
+	// Workers and their callbacks identify a request by its ID alone. A second request with the ID
+	// of an open one could receive the outcome of the first, or cause its cancellation.
+	if c.requestsByID[request.ID] != nil {
+		c.limitedLog.Report("request rejected: its ID is in use", nil, "id", "id", request.ID)
+		request.finished = true
+		c.openCount.Add(-1)
+		c.deliver(request, Answer{Verdict: Failed, InvalidRequest: true, Reason: "a request of this id is open"})
 		return
 	}
-	patience := request.Timeout
-	if c.virtual == nil { // the client's patience runs from when it asked, also while the core was busy
-		patience -= time.Since(request.SubmittedAt)
+	timeLeft := request.Timeout
+	if c.virtualClock == nil { // the timeout starts at Submit, and includes the wait for a busy core
+		timeLeft -= time.Since(request.SubmittedAt)
 	}
-	limit := patience + overdue
-	if c.ends > 0 {
-		left := c.ends - c.now
+	limit := timeLeft + answerGrace
+	if c.processEnd > 0 {
+		left := c.processEnd - c.now
 		if left <= 0 {
-			request.over = true
-			c.open.Add(-1)
-			c.tell(request, Answer{Verdict: Refused, RetryAfter: min(elsewhere, c.settings.MaxRetryAfter),
+			request.finished = true
+			c.openCount.Add(-1)
+			c.deliver(request, Answer{Verdict: Refused, RetryAfter: min(drainRetryAfter, c.settings.MaxRetryAfter),
 				Reason: "this dispatcher ends before the job could"})
 			return
 		}
 		limit = min(limit, left)
 	}
-	c.ids[request.ID] = request
+	c.requestsByID[request.ID] = request
 	c.nextJob++
-	request.job, request.end = c.nextJob, c.now+patience
-	c.jobs[request.job] = request
-	c.observe(func(o Observer) { o.RequestStarted(request) })
-	request.guard = c.after(limit, func() {
-		if !request.over {
-			if c.now >= request.end {
-				c.log.Error("answer overdue", "id", request.ID)
+	request.jobID, request.deadline = c.nextJob, c.now+timeLeft
+	c.requestsByJob[request.jobID] = request
+	c.notifyObservers(func(o Observer) { o.RequestStarted(request) })
+	request.timeoutTimer = c.schedule(limit, func() {
+		if !request.finished {
+			if c.now >= request.deadline {
+				c.log.Error("no answer within the client's timeout; failing the request", "id", request.ID)
 			}
 			c.answer(request, Answer{Verdict: Failed, TimedOut: true, Reason: "deadline"})
-			c.balancer.ClientGone(c.now, request.job)
+			c.balancer.ClientGone(c.now, request.jobID)
 		}
 	})
-	c.balancer.SubmitJob(c.now, balance.Job{ID: request.job, Class: request.Class, Tenant: request.Tenant, Key: request.Key,
-		ClientTimeout: patience, ExpectedWork: request.WorkHint, Slots: request.Slots, Memory: request.Memory, PriorAttempt: request.PriorAttempt})
+	c.balancer.SubmitJob(c.now, balance.Job{ID: request.jobID, Class: request.Class, Tenant: request.Tenant, Key: request.Key,
+		ClientTimeout: timeLeft, ExpectedWork: request.WorkHint, Slots: request.Slots, Memory: request.Memory,
+		PriorAttempt: request.PriorAttempt})
 }
 
-// Drain tells that the process may be ended in so long. What comes once free has passed is
-// answered before that, and refused unsent if it would take longer: what is taken and not
-// answered is lost. What came before keeps its time, as far as the process is given it.
-func (c *Core) Drain(free, within time.Duration) {
+// Drain announces that the process may be ended after within. Requests that arrive once grace has
+// passed are answered before that time, or refused unsent if there is no time left: a request that is
+// accepted but not answered would be lost. Earlier requests keep their full timeout, as far as the
+// process lives that long.
+func (c *Core) Drain(grace, within time.Duration) {
 	c.post(func() {
-		ends := c.now + within
-		c.after(free, func() { c.ends = ends })
+		end := c.now + within
+		c.schedule(grace, func() { c.processEnd = end })
 	})
 }
 
-// CancelRequest takes word that the client is gone: no answer is owed any more.
+// CancelRequest ends a request whose client no longer waits for the answer. The client gets none.
 func (c *Core) CancelRequest(request *Request) {
 	c.post(func() {
-		if request.job == 0 {
-			request.over = true
+		if request.jobID == 0 {
+			request.finished = true
 		}
-		if !request.over {
-			c.close(request)
-			c.observe(func(o Observer) { o.RequestCancelled(request) })
-			c.balancer.ClientGone(c.now, request.job)
-			c.forget(request)
+		if !request.finished {
+			c.finish(request)
+			c.notifyObservers(func(o Observer) { o.RequestCancelled(request) })
+			c.balancer.ClientGone(c.now, request.jobID)
+			c.removeFinished(request)
 		}
 	})
 }
 
-// AnswerWritten takes a front's word that an answer's last byte is written, or could not be. It is
-// for observers alone.
+// AnswerWritten records that the last byte of the answer has been written to the client or, if whole is
+// false, that writing failed. Only observers use it.
 func (c *Core) AnswerWritten(request *Request, whole bool) {
 	if request.Delivery != nil {
 		request.Delivery.Record(whole)
 	}
 }
 
-// answer gives the final answer, once.
+// answer ends a request with its final answer, unless the request is over.
 func (c *Core) answer(request *Request, a Answer) {
-	if request.over {
+	if request.finished {
 		return
 	}
-	c.close(request)
-	c.observe(func(o Observer) { o.RequestAnswered(request, a) })
-	c.tell(request, a)
-	c.forget(request)
+	c.finish(request)
+	c.notifyObservers(func(o Observer) { o.RequestAnswered(request, a) })
+	c.deliver(request, a)
+	c.removeFinished(request)
 }
 
-// tell gives a final answer to the terminal and counts it: every final answer goes this way,
-// also those that are given before the core has the request.
-func (c *Core) tell(request *Request, a Answer) {
-	c.counts.answered(request.Class, a.Verdict)
+// deliver counts a final answer and passes it to the client. Every final answer goes through deliver,
+// including those given before the core has accepted the request.
+func (c *Core) deliver(request *Request, a Answer) {
+	c.counts.add(request.Class, a.Verdict)
 	request.Client.Answer(a)
 }
 
-func (c *Core) close(request *Request) {
-	request.over = true
-	c.stop(request.guard)
-	c.open.Add(-1)
+// finish marks a request as over, without an answer.
+func (c *Core) finish(request *Request) {
+	request.finished = true
+	c.stopTimer(request.timeoutTimer)
+	c.openCount.Add(-1)
 }
 
-// forget drops a request that is over and has no attempt out. Its id stays taken
-// while a worker may still have an attempt of it, but not for longer than its client had patience:
-// a worker that is gone never settles a cancel.
-func (c *Core) forget(request *Request) {
-	if !request.over || request.out > 0 {
+// removeFinished removes a request that is over and has no attempt in flight. Its ID stays reserved while a
+// worker may still hold an attempt, but no longer than the client's timeout, since a worker that is
+// gone never settles a cancellation.
+func (c *Core) removeFinished(request *Request) {
+	if !request.finished || request.attemptsInFlight > 0 {
 		return
 	}
-	delete(c.jobs, request.job)
+	delete(c.requestsByJob, request.jobID)
 	switch {
-	case len(request.unsettled) == 0:
-		c.release(request)
-	case request.guard.index < 0:
-		request.guard = c.after(max(0, request.end-c.now), func() { c.release(request) })
+	case len(request.unsettledCancels) == 0:
+		c.releaseID(request)
+	case request.timeoutTimer.index < 0:
+		request.timeoutTimer = c.schedule(max(0, request.deadline-c.now), func() { c.releaseID(request) })
 	}
 }
 
-func (c *Core) release(request *Request) {
-	if c.ids[request.ID] == request {
-		delete(c.ids, request.ID)
-		c.stop(request.guard)
+// releaseID frees the ID of a request.
+func (c *Core) releaseID(request *Request) {
+	if c.requestsByID[request.ID] == request {
+		delete(c.requestsByID, request.ID)
+		c.stopTimer(request.timeoutTimer)
 	}
 }
--- a/dispatch/serving.go
+++ b/dispatch/serving.go
@@ -6,15 +6,16 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// ServingSet is the workers that take new requests by the last membership list. A driver asks it
-// just before an attempt's first byte, since the list may have changed while the attempt waited for
-// its connection. The zero value accepts none. It is safe for concurrent use.
+// ServingSet is the set of workers that accept new requests according to the last membership list.
+// A driver checks it just before it writes the first byte of an attempt, since the list may have
+// changed while the attempt waited for a connection. The zero value is an empty set. A ServingSet is
+// safe for concurrent use.
 type ServingSet struct {
 	mu      sync.Mutex
 	serving map[balance.WorkerID]bool
 }
 
-// Set takes the members of a new list.
+// Set replaces the set by the serving workers of members.
 func (s *ServingSet) Set(members []Worker) {
 	serving := make(map[balance.WorkerID]bool, len(members))
 	for _, m := range members {
@@ -27,7 +28,7 @@
 	s.serving = serving
 }
 
-// Accepts tells whether a worker takes new requests.
+// Accepts reports whether the worker accepts new requests.
 func (s *ServingSet) Accepts(id balance.WorkerID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-func (c *Core) after(d time.Duration, f func()) *timer {
-	t := &timer{at: c.now + d, f: f}
+// schedule calls f on the core's goroutine after delay.
+func (c *Core) schedule(delay time.Duration, f func()) *timer {
+	t := &timer{due: c.now + delay, f: f}
 	heap.Push(&c.timers, t)
 	return t
 }
 
-// stop drops a timer, so that what is over is not held in memory until its time comes.
-func (c *Core) stop(t *timer) {
+// stopTimer removes a timer, so that the values it refers to can be freed before it is due.
+func (c *Core) stopTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&c.timers, t.index)
 	}
 }
 
-// timer is something to do at an instant.
+// timer is a pending call of f at a point in time.
 type timer struct {
-	at    time.Duration
+	due   time.Duration
 	f     func()
-	index int // in the heap, -1 once out of it
+	index int // in the heap; -1 once removed
 }
 
+// timers is a heap ordered by time; it implements heap.Interface.
 type timers []*timer
 
 func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
 	t[i].index, t[j].index = i, j
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -6,74 +6,76 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// View is the policy's view of the workers, with the names of up to ViewNames of them.
+// View is the policy's view of the workers, with the names of up to MaxViewNames of them.
 type View struct {
 	balance.View
 	Names map[balance.WorkerID]string
 }
 
-// MaxViewNames bounds the names in a View: the core makes no long list for one who watches.
+// MaxViewNames limits the number of names in a View, which is built on the core's goroutine and must
+// not delay requests.
 const MaxViewNames = 2000
 
-// View asks for the policy's view. It returns false where the core has ended, or is busy for so
-// long.
-func (c *Core) View(within time.Duration) (View, bool) {
-	var v View
-	if !c.ask(within, func() {
-		v = View{c.balancer.View(c.now), map[balance.WorkerID]string{}}
-		for _, w := range v.Workers[:min(len(v.Workers), MaxViewNames)] {
-			v.Names[w.ID] = c.members[w.ID].Name
+// View returns the policy's view. It returns false if the core has stopped or does not respond
+// within the given time.
+func (c *Core) View(timeout time.Duration) (View, bool) {
+	var view View
+	if !c.call(timeout, func() {
+		view = View{c.balancer.View(c.now), map[balance.WorkerID]string{}}
+		for _, worker := range view.Workers[:min(len(view.Workers), MaxViewNames)] {
+			view.Names[worker.ID] = c.members[worker.ID].Name
 		}
 	}) {
 		return View{}, false
 	}
-	return v, true
+	return view, true
 }
 
-// WorkerCounts asks how many workers discovery lists, and how many of them the core avoids now.
-// It returns false where the core has ended, or is busy for so long.
-func (c *Core) WorkerCounts(within time.Duration) (WorkerCounts, bool) {
-	var h WorkerCounts
-	if !c.ask(within, func() {
-		h.Listed = len(c.members)
-		for _, w := range c.balancer.View(c.now).Workers {
-			if _, listed := c.members[w.ID]; listed && (!w.Serving || w.HeldFor > 0) {
-				h.Unavailable++
+// WorkerCounts counts the workers that discovery lists and those that the core avoids at present. It
+// returns false if the core has stopped or does not respond within the given time.
+func (c *Core) WorkerCounts(timeout time.Duration) (WorkerCounts, bool) {
+	var counts WorkerCounts
+	if !c.call(timeout, func() {
+		counts.Listed = len(c.members)
+		for _, worker := range c.balancer.View(c.now).Workers {
+			if _, listed := c.members[worker.ID]; listed && (!worker.Serving || worker.HeldFor > 0) {
+				counts.Unavailable++
 			}
 		}
 	}) {
 		return WorkerCounts{}, false
 	}
-	return h, true
+	return counts, true
 }
 
-// ask does f on the core's goroutine and waits for it, for so long at most. What f sets may be
-// read only where ask returns true: after a time-out f may still run.
-func (c *Core) ask(within time.Duration, f func()) bool {
-	if c.virtual != nil {
-		c.turn(f)
+// call runs f on the core's goroutine and waits for it, at most for the given time. The variables that
+// f sets may be read only if ask returns true: after a timeout f may still run.
+func (c *Core) call(timeout time.Duration, f func()) bool {
+	if c.virtualClock != nil {
+		c.handle(f)
 		return true
 	}
 	done := make(chan struct{})
-	limit := time.NewTimer(within)
-	defer limit.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case c.events <- func() { f(); close(done) }:
-	case <-c.closed:
+	case <-c.stopped:
 		return false
-	case <-limit.C:
+	case <-timer.C:
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-c.closed:
+	case <-c.stopped:
 		return false
-	case <-limit.C:
+	case <-timer.C:
 		return false
 	}
 }
 
-// Do runs f on the core's goroutine, between two events, and waits for it; false where the core has
-// ended or is busy for longer than doWithin. A Policy that is driven from outside acts in it.
-func (c *Core) Do(f func()) bool { return c.ask(doWithin, f) }
+// Do runs f on the core's goroutine, between two events, and waits for it. It returns false if the
+// core has stopped or does not respond within doTimeout. A Policy that is controlled from another
+// goroutine uses it to act on the core.
+func (c *Core) Do(f func()) bool { return c.call(doTimeout, f) }
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -37,7 +37,7 @@
 				f.Classes[i].Failure += k.Failed
 				f.Classes[i].BackendCalls += k.AttemptsWritten
 			}
-			f.Inflight += core.Open()
+			f.Inflight += core.OpenRequests()
 		}
 		if asking.TryLock() {
 			for i, core := range cores {
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -105,7 +105,7 @@
 		s.scheduler.Drain()
 	}
 	s.core.Drain(schedule.FullDeadlineFor, schedule.AnswerWithin)
-	s.conns.Drain(ctx, s.core.Open, schedule.KeepClientsFor)
+	s.conns.Drain(ctx, s.core.OpenRequests, schedule.KeepClientsFor)
 }
 
 // outboxItem is an encoded message that waits to be written to a client.
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -96,7 +96,7 @@
 	require.NoError(t, c.Close())
 	require.Equal(t, first, <-f.policy.gone)
 	require.Less(t, time.Since(closed), 2*time.Second, "not at the end of its patience")
-	require.Eventually(t, func() bool { return f.core.Open() == 0 }, 2*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.core.OpenRequests() == 0 }, 2*time.Second, time.Millisecond)
 	select {
 	case id := <-f.policy.asked:
 		t.Fatalf("request %d of a client that has gone is served", id)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -69,7 +69,7 @@
 func (s *Server) Drain(ctx context.Context, g link.DrainSchedule) {
 	s.ready.Store(false)
 	s.core.Drain(g.FullDeadlineFor, g.AnswerWithin)
-	s.server.Drain(ctx, s.core.Open, g.KeepClientsFor)
+	s.server.Drain(ctx, s.core.OpenRequests, g.KeepClientsFor)
 }
 
 func (s *Server) handle(p *link.ServerConn) {
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -239,7 +239,7 @@
 // Core is what a core tells when it is asked.
 type Core interface {
 	View(within time.Duration) (dispatch.View, bool)
-	Open() int
+	OpenRequests() int
 }
 
 // WatchFleet makes gauges of what a fleet's part tells: read is called once for each export.
@@ -295,7 +295,7 @@
 		}
 		f := attribute.String("front", front)
 		to.ObserveFloat64(queue, float64(v.Queued), metric.WithAttributes(f))
-		to.ObserveFloat64(open, float64(core.Open()), metric.WithAttributes(f))
+		to.ObserveFloat64(open, float64(core.OpenRequests()), metric.WithAttributes(f))
 		for i, w := range v.Workers {
 			if i >= min(t.o.MaxWorkerSeries, dispatch.MaxViewNames) { // a sum over the rest would mix what cannot be added
 				break
