--- a/balance/api.go
+++ b/balance/api.go
@@ -1,80 +1,77 @@
-// Package balance decides, for one dispatcher beside one submitter, which
-// worker gets which job and when. This file is its whole interface: settings
-// and events go in, actions come out through a Host. The decisions themselves
-// are in balance.go.
+// Package balance decides, for one dispatcher, which worker runs which job and when. This file holds
+// the types of its interface: the caller passes Settings and events to a Balancer, and the Balancer
+// returns actions by calling a Host. The event methods are in balance.go.
 //
-// A Balancer is not safe for concurrent use: one goroutine owns it and calls
-// its event methods one at a time. The caller owns the clock. Every event
-// carries now, the time since an origin of the caller's choice; now must never
-// go back. Actions take effect at the now of the event that caused them, and
-// the Host must not call back into the Balancer from inside an action.
+// A Balancer is not safe for concurrent use: one goroutine must own it and call its event methods one
+// at a time. The caller owns the clock. Each event carries now, the time since an origin that the
+// caller chooses; now must never decrease. An action takes effect at the now of the event that caused
+// it, and the Host must not call the Balancer from inside an action.
 package balance
 
 import "time"
 
-// JobID names a request; a client's retry carries a fresh one.
+// JobID identifies a request. A client's retry has a new JobID.
 type JobID uint64
 
-// WorkerID names a worker; it stays the same when its process restarts.
+// WorkerID identifies a worker. It stays the same when the worker's process restarts.
 type WorkerID uint64
 
-// Idempotency tells what a repeat of a job does.
+// Idempotency describes the effect of running a job more than once.
 type Idempotency uint8
 
-// A safe job may run any number of times, a keyed one repeats harmlessly inside
-// its group and memory span, an unsafe one must never run twice.
+// An idempotent job may run any number of times. A deduplicated job may be repeated at the workers in
+// its Class.DedupScope during its Class.DedupWindow. A non-idempotent job must never run twice.
 const (
 	Idempotent Idempotency = iota
 	Deduplicated
 	NonIdempotent
 )
 
-// DedupScope is the set of workers that drop a repeat of a keyed job.
+// DedupScope is the set of workers that recognize and drop a repeat of a deduplicated job.
 type DedupScope uint8
 
-// The groups, widest first.
+// The scopes, widest first.
 const (
 	ScopeFleet DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in the membership list.
 type WorkerState uint8
 
-// The conditions. A draining worker finishes what it has; a gone one does not.
+// The worker states. A draining worker finishes the jobs that it has; a worker that is gone does not.
 const (
 	Serving WorkerState = iota
 	Draining
 	Gone
 )
 
-// UpdateKind tells how a list of workers is to be read.
+// UpdateKind is the kind of a membership update.
 type UpdateKind uint8
 
-// The kinds of list.
+// The update kinds.
 const (
-	UpdateDelta  UpdateKind = iota // changed entries only
-	UpdateFull                     // everything; a worker left out is gone
-	UpdateCached                   // everything as last held, perhaps outdated
-	UpdateFailed                   // an inquiry failed or the subscription broke
+	UpdateDelta  UpdateKind = iota // only the entries that changed
+	UpdateFull                     // all entries; a worker that is not listed is gone
+	UpdateCached                   // all entries from a local cache, possibly out of date
+	UpdateFailed                   // no entries: a request failed or the subscription broke
 )
 
-// Status tells how an attempt or a probe ended.
+// Status is the outcome of an attempt or a probe.
 type Status uint8
 
-// The statuses. Only StatusFull, StatusUnreachable and StatusNotSent prove that the
-// attempt never ran.
+// The statuses. Only StatusFull, StatusUnreachable and StatusNotSent prove that the attempt never ran.
 const (
 	StatusOK          Status = iota
-	StatusError              // the worker answered with an error
-	StatusFull               // turned away unseen
-	StatusTimeout            // no answer in time
+	StatusError              // the worker returned an error
+	StatusFull               // the worker had no room and did not read the job
+	StatusTimeout            // no result in time
 	StatusUnreachable        // no connection
-	StatusReset              // connection lost with the attempt out
-	StatusCancelled          // withdrawn
-	StatusNotSent            // not sent: request over, time over, or too many attempts
-	StatusInvalid            // turned away for what it is: any worker would; the Host answers it
+	StatusReset              // connection lost during the attempt
+	StatusCancelled          // cancelled by this dispatcher
+	StatusNotSent            // not sent: the request was over, out of time, or had too many attempts
+	StatusInvalid            // the job is invalid and any worker would reject it; the Host answers the client
 )
 
 // NeverRan reports whether the status proves that the attempt had no effect.
@@ -82,45 +79,46 @@
 	return s == StatusFull || s == StatusUnreachable || s == StatusNotSent
 }
 
+// String returns the name of the status on the wire and in metrics.
 func (s Status) String() string {
 	return [...]string{"ok", "error", "full", "timeout", "unreachable", "reset", "cancelled", "moot", "unfit"}[s]
 }
 
-// EventKind tells what a worker says of a job that is still out.
+// EventKind is the kind of event that a worker reports during an attempt.
 type EventKind uint8
 
-// The notes.
+// The event kinds.
 const (
 	EventStarted  EventKind = 1
 	EventProgress EventKind = 2
 )
 
-// Class describes one kind of job.
+// Class describes a class of jobs.
 type Class struct {
 	Name        string
-	Target      time.Duration // answered within Aim + Stretch x its own work: full worth
+	Target      time.Duration // a job answered within Target + Stretch * its work earns its full worth
 	Stretch     float64
-	Deadline    time.Duration // a client's patience over all its tries
+	Deadline    time.Duration // how long a client waits in total, including its retries
 	Worth       float64
-	LateWorth   float64 // share of the worth earned after the aim
+	LateWorth   float64 // fraction of the worth that a job earns after the target
 	Idempotency Idempotency
-	DedupScope  DedupScope    // Keyed only
-	DedupWindow time.Duration // Keyed only: how long a repeat is recognised
+	DedupScope  DedupScope    // Deduplicated only
+	DedupWindow time.Duration // Deduplicated only: how long workers recognize a repeat
 	Streaming   bool
-	WorkerKind  int // the machine kind it needs, or -1
+	WorkerKind  int // the kind of worker that the job needs, or -1 for any
 }
 
-// Tenant is a customer with a share of the fleet.
+// Tenant is a customer with a quota of the fleet's capacity.
 type Tenant struct {
 	Name  string
-	Quota float64 // jobs a second over all dispatchers
+	Quota float64 // jobs per second, summed over all dispatchers
 }
 
-// Settings hold all that a dispatcher is told at its start.
+// Settings is a dispatcher's configuration.
 type Settings struct {
 	Seed        uint64
-	Position    int // this dispatcher's number, from 0; no two share one
-	FleetSize   int // how many dispatchers there are
+	Position    int // index of this dispatcher, from 0; unique in the fleet
+	FleetSize   int // number of dispatchers
 	Zone        int
 	WorkerKinds int
 	Classes     []Class
@@ -128,35 +126,35 @@
 
 	MaxAttempts       int
 	AllowCancel       bool // attempts may be cancelled
-	AllowCopies       bool // two attempts of one job may be out at once
-	AllowProbes       bool
-	AllowPeerMessages bool
+	AllowCopies       bool // a job may have two attempts in flight at once
+	AllowProbes       bool // the load of a worker may be probed
+	AllowPeerMessages bool // dispatchers may send each other messages
 	ConnectTimeout    time.Duration
-	Tick              time.Duration // the least time between two events' instants
-	MaxRetryAfter     time.Duration // the longest advice that clients follow, 0 for none
-	ConnIdleTimeout   time.Duration // workers close connections idle for this long; for the Host
-	MaxOpenJobs       int           // jobs that may be open at once, 0 for any number; for the Host
-
-	PullInterval   time.Duration // ask the list at least this often unless subscribed
-	PullMembers    bool          // the list comes only when asked for
-	ColdCapacity   float64       // a fresh worker's least share of its capacity
-	WarmUp         time.Duration // the longest time until it is warm
-	OverloadFactor float64       // work over this multiple of present capacity ...
-	OverloadWindow time.Duration // ... for this long makes a cold worker fall
-
-	ReportsStart     bool
-	ProgressInterval time.Duration // interval of progress notes, 0 for none
-	TracksMemory     bool          // jobs and workers count memory
-	IgnoreWeights    bool          // Member.Weight says nothing
-	OverQuotaWorth   float64       // worth of a job beyond its tenant's quota
-	CrossZonePrice   float64       // price of a send into another zone
-	WorthByWork      bool          // worth is counted by work
-
-	TotalWeight      float64 // weight of all that is served ...
-	WorstClassWeight float64 // ... and of the class served worst
+	Tick              time.Duration // shortest time between two distinct event times
+	MaxRetryAfter     time.Duration // longest retry delay that clients obey; 0 if they obey none
+	ConnIdleTimeout   time.Duration // workers close connections that are idle for this long; used by the Host
+	MaxOpenJobs       int           // limit on open jobs, 0 for no limit; used by the Host
+
+	PullInterval   time.Duration // longest interval between requests for the membership list while not subscribed
+	PullMembers    bool          // the membership list must be requested
+	ColdCapacity   float64       // fraction of its capacity that a worker has when it starts
+	WarmUp         time.Duration // longest time until a worker has its full capacity
+	OverloadFactor float64       // work beyond this multiple of the current capacity ...
+	OverloadWindow time.Duration // ... over this time makes a cold worker fail
+
+	ReportsStart     bool          // workers report when an attempt starts
+	ProgressInterval time.Duration // interval of progress events, 0 for none
+	TracksMemory     bool          // jobs need memory and workers report free memory
+	IgnoreWeights    bool          // Member.Weight carries no information
+	OverQuotaWorth   float64       // factor on the worth of a job beyond its tenant's quota
+	CrossZonePrice   float64       // cost of sending a job to another zone
+	WorthByWork      bool          // jobs count by their work rather than one each
+
+	TotalWeight      float64 // weight of all served jobs in the goal ...
+	WorstClassWeight float64 // ... and of the class with the lowest share of jobs served in time
 }
 
-// Member is one entry of the list of workers.
+// Member is an entry of the membership list.
 type Member struct {
 	ID     WorkerID
 	State  WorkerState
@@ -164,83 +162,94 @@
 	Kind   int
 	Zone   int
 	Cell   int
-	// Started is when it last started, on the caller's clock; 0 for long ago. Dispatchers
-	// take turns at a cold worker by its age, so they should agree on it to well within
-	// Settings.FallSpan.
+	// StartedAt is when the worker last started, on the caller's clock; 0 means long ago.
+	// Dispatchers take turns at a cold worker by its age, so they should agree on this time to
+	// well within Settings.OverloadWindow.
 	StartedAt time.Duration
 }
 
-// Job is a request as it arrives.
+// Job is a request as it arrives from a client.
 type Job struct {
 	ID            JobID
-	Class         int
-	Tenant        int // -1 for none
-	Key           string
-	ClientTimeout time.Duration // until the client gives up this try
-	ExpectedWork  time.Duration // expected work at speed 1; 0 for none
+	Class         int           // index in Settings.Classes
+	Tenant        int           // index in Settings.Tenants, -1 for none
+	Key           string        // subject of the job; a worker that had a job with the key may have cached its data
+	ClientTimeout time.Duration // how long the client waits for this request
+	ExpectedWork  time.Duration // expected run time on a worker of speed 1; 0 if unknown
 	Slots         float64
 	Memory        float64
-	PriorAttempt  *PriorAttempt // nil where no attempt from before may have run
+	PriorAttempt  *PriorAttempt // nil if no attempt before this request may have run
 }
 
-// PriorAttempt is the first attempt at a job from before its Request, as a queue that outlives the
-// process knows of it, that may have had its effect. It binds later attempts as one of the
-// Balancer's own would.
+// PriorAttempt is the first attempt at a job, made before the job was submitted to this Balancer, that
+// may have had an effect. A queue that survives a restart of the process knows of such attempts. It
+// restricts later attempts as an attempt of this Balancer would.
 type PriorAttempt struct {
-	Zone, Cell int           // of its worker
-	Age        time.Duration // since it was sent
+	Zone, Cell int           // of the worker
+	Age        time.Duration // time since it was sent
 }
 
-// LoadReport is a worker's word about its load; a negative figure is absent.
+// LoadReport is the load that a worker reports. A negative value is absent.
 type LoadReport struct {
-	InFlight, Queue, Util, ErrorRate, FreeSlots, FreeMemory float64
+	InFlight, Queue       float64 // jobs that run and jobs that wait
+	Util, ErrorRate       float64 // fractions
+	FreeSlots, FreeMemory float64
 }
 
-// NoLoadReport returns a Report in which every figure is absent.
+// NoLoadReport returns a LoadReport in which every value is absent.
 func NoLoadReport() LoadReport { return LoadReport{-1, -1, -1, -1, -1, -1} }
 
-// AttemptResult is the end of one attempt; each Send gets exactly one.
+// AttemptResult is the result of an attempt. Each Host.Send gets exactly one.
 type AttemptResult struct {
 	Job     JobID
 	Attempt int
 	Worker  WorkerID
 	Status  Status
 	Elapsed time.Duration
-	JobDone bool // the request is over, by this or earlier
+	JobDone bool // the request is finished, by this result or earlier
 	Report  LoadReport
 }
 
-// FleetBudget are what a fleet's budgets leave to this dispatcher, where it belongs to a fleet that divides
-// them. First is asked once for each new job, from inside Request, with its expected work in seconds,
-// and must not block: budgeted is false where no budget is the tenant's, and wait is in how long it
-// would be admitted. Again is asked before each attempt that may do a job's work once more, one after an
-// attempt that may have run or beside one that is out: true takes it from the budget. Sent is told of each
-// job's first attempt.
+// FleetBudget is this dispatcher's allocation of budgets that are shared by a fleet of dispatchers.
 type FleetBudget interface {
+	// Admit reports whether a new job of the tenant, of the given expected work in seconds, is
+	// admitted. It is called once for each new job, from inside SubmitJob. budgeted is false if the
+	// tenant has no budget; wait is the time after which a job that is not ok would be admitted.
+	// It must not block.
 	Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration)
+	// AllowRepeat takes one repeat from the budget and reports whether there was one left. It is called
+	// before each attempt that may repeat a job's work: after an attempt that may have run, or
+	// beside one that is in flight.
 	AllowRepeat() bool
+	// CountFirstSend counts the first attempt of a job.
 	CountFirstSend()
 }
 
-// AllPeers stands for all other dispatchers in Host.Tell.
+// AllPeers addresses all other dispatchers in Host.SendToPeer.
 const AllPeers = -1
 
-// Host receives the actions. Send numbers the attempts of a job 0, 1, 2, ... in
-// the order of the calls; timeout 0 means until the client gives up. Refuse and
-// Fail are final answers; an OK result is one by itself. Wake asks for one
-// Timer call with the same token; a late call is harmless. Watch subscribes to
-// changes of the list, Fetch asks for all of it once; both are answered by
-// Members. Tell sends at most 256 bytes to one other dispatcher, by its position, or to
-// Everyone.
+// Host carries out the actions of a Balancer.
 type Host interface {
+	// Send starts an attempt at a worker. The attempts of a job are numbered 0, 1, 2, ... in the
+	// order of the calls. A timeout of 0 lasts until the client gives up.
 	Send(job JobID, to WorkerID, timeout time.Duration)
+	// Cancel cancels an attempt.
 	Cancel(job JobID, attempt int)
-	Refuse(job JobID, backoff time.Duration)
+	// Refuse is a final answer: the client may repeat the job after the given delay. After a result
+	// with StatusOK no final answer follows, as the client has its answer.
+	Refuse(job JobID, retryAfter time.Duration)
+	// Fail is a final answer: the job is not served and may have run, so a repeat could do harm.
 	Fail(job JobID)
+	// SetTimer asks for one call of Balancer.TimerFired with the same token. A late call is harmless.
 	SetTimer(after time.Duration, token uint64)
+	// Watch subscribes to changes of the membership list; Balancer.UpdateMembers delivers them.
 	Watch()
+	// Fetch requests the whole membership list once; Balancer.UpdateMembers delivers it.
 	Fetch()
+	// SendToPeer sends at most 256 bytes to the dispatcher at a position, or to AllPeers.
 	SendToPeer(to int, data []byte)
+	// Probe asks a worker for its load; Balancer.ProbeDone delivers the answer.
 	Probe(w WorkerID)
+	// Log writes a line for the operator.
 	Log(text string)
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,10 +1,9 @@
-// The policy: every decision of tinroute. Its interface is api.go.
+// This file holds the event methods of the dispatch policy. The types of its interface are in api.go.
 //
-// The mechanism is AdaRep of Joshi and Kaushal, "Synergy via Redundancy": jobs
-// wait in arrival order; when a worker has room, a running job that is past its
-// threshold is copied there, else the head of the queue goes; the first copy to
-// finish wins and the others are cancelled. What the paper leaves open, and where
-// it breaks, is said where the code acts.
+// The policy implements AdaRep from Joshi and Kaushal, "Synergy via Redundancy". Jobs wait in order of
+// arrival. When a worker has a free slot, a running job that has passed its threshold is copied to it;
+// if there is none, the first job of the queue is sent. The first copy to finish wins and the others
+// are cancelled. Comments in the code say what the paper leaves open and where its assumptions fail.
 
 package balance
 
@@ -14,293 +13,303 @@
 )
 
 const (
-	windowLen         = 48                     // samples kept a window: recent, and cheap to search
-	memory            = 10 * time.Second       // a worker's measured speed forgets half in this time
-	heartbeatInterval = 2 * time.Second        // peers repeat what they hold, against lost messages
-	firstRetry        = 250 * time.Millisecond // after a failed inquiry; doubles
-	largeFleetAbove   = 24                     // more dispatchers tell each other nothing; see candidates
-	probesPerRequest  = 2                      // workers asked about their room for each request
-	asking            = 15                     // ticks that a job waits for other dispatchers' signs of room
-	looked            = 16                     // workers drawn by lot for a choice
-	lookahead         = 8                      // queued jobs looked at behind heads that fit no free room
-	minChance         = 0.05                   // a chance of being in time that is not worth a slot
-	crossing          = 5                      // a faster run is seldom what makes an answer timely; see pick
-	fair              = 0.75                   // a chance below which the queue counts as too long
-	bearable          = 0.9                    // of a predicted wait counts: some of the queue will leave it
-	leastBack         = 50 * time.Millisecond  // a client sent away stays away this long at least
-	failing           = 0.4                    // smoothed share of errors at which a worker is held back
-	mostTries         = 2                      // doublings of the wait between tries beyond the known
-	unwanted          = 1e6                    // the cost of a worker that is chosen for lack of another
-	margin            = time.Millisecond       // answers of our own leave this long before patience ends
+	// Speed samples kept for each kind of worker: recent ones only, and few enough to search quickly.
+	maxSamples = 48
+	// Half-life of the samples of a worker's speed.
+	speedHalfLife = 10 * time.Second
+	// Interval at which dispatchers repeat the slots that they use, in case a message was lost.
+	heartbeatInterval = 2 * time.Second
+	// Delay after the first failed request for the membership list; it doubles with each failure.
+	firstMembersRetry = 250 * time.Millisecond
+	// Above this number of dispatchers a fleet is large: they do not tell each other the slots that they use,
+	// and each chooses among a sample of the workers.
+	maxSmallFleet = 24
+	// Workers probed for each request in a large fleet.
+	probesPerRequest = 2
+	// How long a job of a large fleet waits for the answers to its probes, in ticks.
+	probeWaitTicks = 3
+	// How long it waits for other dispatchers to name a worker with a free slot, in ticks.
+	evidenceWaitTicks = 15
+	// Workers drawn at random as candidates for a job in a large fleet.
+	randomCandidates = 16
+	// Queued jobs considered when those before them fit no free slot.
+	queueLookahead = 8
+	// A job that is less likely than this to be in time is not worth a slot.
+	minOnTimeProbability = 0.05
+	// Factor on the price of another zone in selectWorker: a faster run alone seldom makes an answer
+	// timely, so it must gain several times what the crossing costs.
+	crossZoneFactor = 5
+	// The queue is too long for a job that is less likely than this to be in time.
+	likelyOnTime = 0.75
+	// Factor on a predicted wait: some jobs ahead in the queue will leave it unserved.
+	waitFactor = 0.9
+	// Initial estimate of the share of sends that find a free slot.
+	initialFreeSlotRate = 0.8
+	// Shortest retry delay for a refused client.
+	minRetryAfter = 50 * time.Millisecond
+	// Smoothed error rate above which a worker is held back.
+	maxErrorRate = 0.4
+	// The delay between overcommits doubles at most this often; see Balancer.send.
+	maxOvercommitDoublings = 2
+	// Cost of a worker that is chosen only if there is no other.
+	lastResortCost = 1e6
+	// Time before the client's timeout at which an unserved job is answered.
+	answerMargin = time.Millisecond
 )
 
-// UpdateMembers takes the list's word on workers.
-func (b *Balancer) UpdateMembers(now time.Duration, how UpdateKind, list []Member) {
+// SubmitJob adds a new job.
+func (b *Balancer) SubmitJob(now time.Duration, submitted Job) {
 	b.now = now
-	if how == UpdateFailed { // keep the old list: an unreachable list empties no fleet
-		b.askGap = max(firstRetry, min(2*b.askGap, b.askMost()))
-		// Dispatchers that started together would ask again together, and a list service that
-		// turns callers away would meet the same herd each time: each waits its own share.
-		b.askAgain = now + b.askGap/2 + time.Duration(b.rng.Int64N(int64(b.askGap/2)))
-		b.schedule()
+	if submitted.Class < 0 || submitted.Class >= len(b.classes) || b.jobs[submitted.ID] != nil {
 		return
 	}
-	b.since = min(b.since, now)
-	if how != UpdateDelta { // a worker left out is gone
-		for _, w := range b.workers {
-			w.State = Gone
-		}
-	}
-	for _, m := range list {
-		b.member(m)
+	c := &b.classes[submitted.Class]
+	j := &job{
+		Job:       submitted,
+		class:     c,
+		expiresAt: now + submitted.ClientTimeout,
+		arrivedAt: now - max(0, c.Deadline-submitted.ClientTimeout),
 	}
-	b.purge()
-	b.largeFleet = b.s.FleetSize > largeFleetAbove
-	if how == UpdateCached && b.s.PullMembers {
-		b.ask()
-		if b.s.AllowPeerMessages && !b.largeFleet {
-			b.host.SendToPeer(AllPeers, []byte{helloMessage})
+	if prior := submitted.PriorAttempt; prior != nil { // it restricts retries as one of this Balancer would
+		j.prior = &attempt{
+			job:        j,
+			number:     -1,
+			worker:     &worker{Member: Member{Zone: prior.Zone, Cell: prior.Cell}},
+			sentAt:     now - prior.Age,
+			done:       true,
+			mayHaveRun: true,
 		}
-	} else {
-		b.askGap, b.askAgain = 0, 0
-	}
-	b.schedule()
-}
-
-func (b *Balancer) ask() {
-	b.host.Watch()
-	b.askedAt = b.now
-	b.askAgain = b.now + 4*time.Second // should even the failure be lost
-}
-
-// SubmitJob takes a new job.
-func (b *Balancer) SubmitJob(now time.Duration, r Job) {
-	b.now = now
-	if r.Class < 0 || r.Class >= len(b.classes) || b.jobs[r.ID] != nil {
-		return
-	}
-	c := &b.classes[r.Class]
-	j := &job{Job: r, c: c, end: now + r.ClientTimeout, born: now - max(0, c.Deadline-r.ClientTimeout)}
-	if e := r.PriorAttempt; e != nil { // a repeat must be as harmless as if it were ours
-		w := &worker{Member: Member{Zone: e.Zone, Cell: e.Cell}}
-		j.earlier = &attempt{j: j, no: -1, w: w, sent: now - e.Age, done: true, ran: true}
 	}
 	budgeted := false
-	if b.shares != nil && r.PriorAttempt == nil { // one that may have run was admitted then
+	if b.budget != nil && submitted.PriorAttempt == nil { // a job that may have run was admitted before
 		ok, wait := true, time.Duration(0)
-		if budgeted, ok, wait = b.shares.Admit(r.Tenant, b.sizeOf(j)); !ok { // it has been sent nowhere
-			b.host.Refuse(r.ID, min(max(wait, leastBack), b.s.MaxRetryAfter))
+		if budgeted, ok, wait = b.budget.Admit(submitted.Tenant, b.expectedWork(j)); !ok {
+			// The job has not been sent, so the client may retry.
+			b.host.Refuse(submitted.ID, min(max(wait, minRetryAfter), b.settings.MaxRetryAfter))
 			return
 		}
 	}
-	b.jobs[r.ID] = j
-	if j.worth = c.Worth; !budgeted { // what the fleet's budget admits is within the tenant's quota
-		j.worth *= b.share(r.Tenant)
+	b.jobs[submitted.ID] = j
+	j.worth = c.Worth
+	if !budgeted { // a job admitted by the fleet's budget is within the tenant's quota
+		j.worth *= b.quotaFactor(submitted.Tenant)
 	}
 	b.enqueue(j)
 	switch {
-	case b.largeFleet && (b.s.AllowProbes || b.s.AllowPeerMessages && !j.movable()):
-		j.hold = now + 3*b.s.Tick
-		if !b.s.AllowProbes {
-			j.hold = now + asking*b.s.Tick
+	case b.largeFleet && (b.settings.AllowProbes || b.settings.AllowPeerMessages && !j.repeatableAnywhere()):
+		j.waitForEvidenceUntil = now + probeWaitTicks*b.settings.Tick
+		if !b.settings.AllowProbes {
+			j.waitForEvidenceUntil = now + evidenceWaitTicks*b.settings.Tick
 		}
 		b.schedule()
-		b.probeSome(j)
+		b.probeRandom(j)
 		return
-	case b.s.AllowProbes:
-		b.probeOne()
+	case b.settings.AllowProbes:
+		b.probeLeastRecent()
 	}
 	b.schedule()
 }
 
-// TimerFired takes a timer that the Balancer set.
+// TimerFired handles a timer that was set by Host.SetTimer. It ignores all but the latest timer.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	b.now = now
-	if token != b.token {
+	if token != b.timerToken {
 		return
 	}
-	b.armed = math.MaxInt64
+	b.timerAt = math.MaxInt64
 	b.schedule()
 }
 
-// ClientGone takes word that the client of a job has left.
+// ClientGone ends a job whose client has left.
 func (b *Balancer) ClientGone(now time.Duration, id JobID) {
 	b.now = now
-	if j := b.jobs[id]; j != nil && !j.over {
-		b.finish(j)
+	if j := b.jobs[id]; j != nil && !j.finished {
+		b.finishJob(j)
 		b.schedule()
 	}
 }
 
-// StreamStarted takes word that a streamed answer has begun: the job is the client's.
-func (b *Balancer) StreamStarted(now time.Duration, id JobID, no int) {
+// StreamStarted handles the start of a streamed answer. The client then reads the answer of that
+// attempt, so the others are cancelled and no copies follow.
+func (b *Balancer) StreamStarted(now time.Duration, id JobID, number int) {
 	b.now = now
 	j := b.jobs[id]
-	if j == nil || j.over || no < 0 || no >= len(j.attempts) {
+	if j == nil || j.finished || number < 0 || number >= len(j.attempts) {
 		return
 	}
-	j.stream = true
-	b.cancelOthers(j, j.attempts[no])
+	j.streaming = true
+	b.cancelOthers(j, j.attempts[number])
 	b.schedule()
 }
 
-// AttemptEvent takes a worker's word about a job that is out.
-func (b *Balancer) AttemptEvent(now time.Duration, id JobID, no int, what EventKind, share float64) {
+// AttemptEvent handles an event that a worker reports during an attempt. progress is the completed
+// fraction of the job.
+func (b *Balancer) AttemptEvent(now time.Duration, id JobID, number int, kind EventKind, progress float64) {
 	b.now = now
 	j := b.jobs[id]
-	if j == nil || no < 0 || no >= len(j.attempts) || j.attempts[no].done {
+	if j == nil || number < 0 || number >= len(j.attempts) || j.attempts[number].done {
 		return
 	}
-	a := j.attempts[no]
-	a.noted = now
+	a := j.attempts[number]
+	a.eventAt = now
 	if !a.started {
-		b.begin(j, a)
+		b.recordStart(j, a)
 	}
-	if what == EventProgress && share > a.share && share <= 1 {
-		a.share = share
-		if !a.sampled && share > 0.02 {
-			b.sample(j, a, (now-a.begun).Seconds()/share)
+	if kind == EventProgress && progress > a.progress && progress <= 1 {
+		a.progress = progress
+		if !a.sampled && progress > 0.02 {
+			b.recordRun(j, a, (now-a.startedAt).Seconds()/progress)
 		}
 	}
 	b.schedule()
 }
 
-func (b *Balancer) begin(j *job, a *attempt) {
-	w, late := a.w, a.stuck
-	b.unwait(a)
-	a.started, a.begun = true, b.now
+// recordStart handles the start of an attempt.
+func (b *Balancer) recordStart(j *job, a *attempt) {
+	w, late := a.worker, a.startOverdue
+	b.removeStarting(a)
+	a.started, a.startedAt = true, b.now
 	if !late {
-		b.found(a, 1)
+		b.recordFreeSlot(a, 1)
 	}
-	w.running += j.Slots
-	if w.errors <= failing { // a start shows that it is there, not that it is sound
-		w.strikes = 0
+	w.runningSlots += j.Slots
+	if w.errorRate <= maxErrorRate { // a start shows that the worker is reachable, not that its jobs succeed
+		w.timesHeld = 0
 	}
-	lag := (b.now - a.sent).Seconds()
-	if b.largeFleet && !j.over {
-		if late && b.chance(j, 0) < fair {
-			b.window *= 0.5 // as in congestion control
+	lag := (b.now - a.sentAt).Seconds()
+	if b.largeFleet && !j.finished { // the limit grows and shrinks like a window in congestion control
+		if late && b.onTimeProbability(j, 0) < likelyOnTime {
+			b.waitingLimit *= 0.5
 		} else {
-			b.window = min(b.window+1.0/128, 16)
+			b.waitingLimit = min(b.waitingLimit+1.0/128, 16)
 		}
 	}
-	w.lag = min(lag, w.lag+(lag-w.lag)/64)
-	w.group.lag = min(lag, w.group.lag+(lag-w.group.lag)/64)
-	b.lag = min(lag, b.lag+(lag-b.lag)/64)
-	if held := w.running + w.peerRunning; held > w.slots {
-		b.setSlots(w, held)
+	// A shorter lag counts at once, a longer one slowly.
+	w.startLag = min(lag, w.startLag+(lag-w.startLag)/64)
+	w.group.startLag = min(lag, w.group.startLag+(lag-w.group.startLag)/64)
+	b.fleetStartLag = min(lag, b.fleetStartLag+(lag-b.fleetStartLag)/64)
+	if seen := w.runningSlots + w.peerRunningSlots; seen > w.slots {
+		b.setSlots(w, seen)
+	}
+	b.markDirty(w)
+	if a.overcommit && !late {
+		w.otherSlots = max(0, min(w.otherSlots, b.estimatedSlots(w)-w.runningSlots))
+		b.overcommits, b.nextOvercommit = 0, b.now
 	}
-	b.mark(w)
-	if a.beyond && !late {
-		w.others = max(0, min(w.others, b.estimate(w)-w.running))
-		b.tries, b.nextTry = 0, b.now
+	if j.finished {
+		return
 	}
-	if !j.over {
-		for _, o := range j.attempts { // the first start wins over copies that still wait
-			if o != a && !o.done && !o.started {
-				b.cancel(j, o)
-			}
+	for _, other := range j.attempts { // the first attempt to start wins over copies that have not started
+		if other != a && !other.done && !other.started {
+			b.cancelAttempt(j, other)
 		}
 	}
 }
 
-// AttemptDone takes the end of an attempt.
-func (b *Balancer) AttemptDone(now time.Duration, r AttemptResult) {
+// AttemptDone handles the result of an attempt.
+func (b *Balancer) AttemptDone(now time.Duration, result AttemptResult) {
 	b.now = now
-	j := b.jobs[r.Job]
-	if j == nil || r.Attempt < 0 || r.Attempt >= len(j.attempts) || j.attempts[r.Attempt].done {
+	j := b.jobs[result.Job]
+	if j == nil || result.Attempt < 0 || result.Attempt >= len(j.attempts) ||
+		j.attempts[result.Attempt].done {
 		return
 	}
-	a := j.attempts[r.Attempt]
-	b.release(j, a)
-	j.unfit = j.unfit || r.Status == StatusInvalid
-	a.ran = !r.Status.NeverRan()
-	a.unreached = r.Status == StatusUnreachable
-	b.judge(j, a, r)
-	b.report(a.w, r.Report)
-	if b.largeFleet && a.started && r.Status == StatusOK && (a.w.sign != signMany || a.w.sureAt != now) {
-		b.freed(a.w, signEnd) // the report is older than the slot that came free
+	a := j.attempts[result.Attempt]
+	w := a.worker
+	b.releaseAttempt(j, a)
+	j.invalid = j.invalid || result.Status == StatusInvalid
+	a.mayHaveRun = !result.Status.NeverRan()
+	a.unreachable = result.Status == StatusUnreachable
+	b.recordResult(j, a, result)
+	b.applyReport(w, result.Report)
+	// The load report was made before this slot came free, so it must not hide the free slot, unless it
+	// shows several.
+	if b.largeFleet && a.started && result.Status == StatusOK &&
+		(w.evidence != evidenceManyFree || w.evidenceAt != now) {
+		b.addEvidence(w, evidenceJobEnded)
 	}
 	switch {
-	case r.JobDone && !j.over:
-		b.finish(j)
-	case !j.over && j.out == 0:
-		b.unlist(j)
-		b.again(j)
+	case result.JobDone && !j.finished:
+		b.finishJob(j)
+	case !j.finished && j.inFlight == 0:
+		b.removeRunning(j)
+		b.retryOrAnswer(j)
 	}
-	if j.over && j.out == 0 {
+	if j.finished && j.inFlight == 0 {
 		delete(b.jobs, j.ID)
 	}
 	b.schedule()
 }
 
-// judge learns from an end: speed from finished work, health from the way of
-// ending.
-func (b *Balancer) judge(j *job, a *attempt, r AttemptResult) {
-	w := a.w
-	switch r.Status {
+// recordResult updates the estimates of a worker's speed from a finished attempt and those of its
+// health from the status.
+func (b *Balancer) recordResult(j *job, a *attempt, result AttemptResult) {
+	w := a.worker
+	switch result.Status {
 	case StatusOK:
 		if !a.started {
-			a.begun = a.sent
+			a.startedAt = a.sentAt
 		}
-		run := (b.now - a.begun).Seconds()
-		size := run / b.slow(w)
+		run := (b.now - a.startedAt).Seconds()
+		work := run / b.slowness(w)
 		if j.ExpectedWork > 0 {
-			size = j.ExpectedWork.Seconds()
+			work = j.ExpectedWork.Seconds()
 		}
-		if r.JobDone && !j.over && (b.now-j.born).Seconds() <= j.c.Target.Seconds()+j.c.Stretch*size {
-			j.c.inTime += b.weight(j)
+		elapsed := (b.now - j.arrivedAt).Seconds()
+		if result.JobDone && !j.finished && elapsed <= j.class.Target.Seconds()+j.class.Stretch*work {
+			j.class.onTimeWeight += b.countWeight(j)
 		}
-		b.sample(j, a, run)
-		w.errors -= w.errors / 4
-		w.strikes = 0
+		b.recordRun(j, a, run)
+		w.errorRate -= w.errorRate / 4
+		w.timesHeld = 0
 	case StatusError:
-		// Fast failures free slots and would attract ever more work.
-		w.errors += (1 - w.errors) / 4
-		if w.errors > failing {
-			b.hold(w, b.meanRun(), "errors")
+		// A worker that fails fast has free slots and would attract more and more jobs.
+		w.errorRate += (1 - w.errorRate) / 4
+		if w.errorRate > maxErrorRate {
+			b.holdBack(w, b.meanRun(), "too many errors")
 		}
 	case StatusInvalid:
-		// The job is at fault, so its worker must not be held back for it, or a few bad
-		// clients would shut a sound fleet. One that takes nothing else is at fault itself.
-		w.errors += (1 - w.errors) / 16
-		if w.errors > failing {
-			b.hold(w, b.meanRun(), "refusals")
+		// The job is at fault: if its worker were held back for it, a few bad clients could
+		// disable a healthy fleet. A worker that rejects nearly every job is itself at fault.
+		w.errorRate += (1 - w.errorRate) / 16
+		if w.errorRate > maxErrorRate {
+			b.holdBack(w, b.meanRun(), "too many jobs rejected as invalid")
 		}
 	case StatusFull:
 		if b.largeFleet {
-			w.sure, w.sureAt, w.sign = -1, b.now, signNone
+			w.setEvidence(noEvidence, -1, b.now) // counts for longer than the 0 of a late start
 		} else {
-			b.setSlots(w, min(w.slots, w.used))
+			b.setSlots(w, min(w.slots, w.usedSlots))
 		}
-		w.nextTry = b.now + seconds(b.meanRun()/2)
+		w.nextOvercommit = b.now + toDuration(b.meanRun()/2)
 	case StatusUnreachable, StatusReset:
-		b.lost(w)
+		b.recordUnreachable(w)
 	case StatusTimeout:
 		if !a.started {
-			b.hold(w, b.meanRun(), "silence")
+			b.holdBack(w, b.meanRun(), "a job timed out before its start")
 		}
 	}
 }
 
-// lost takes in that a worker did not answer: where dispatchers are many each meets a worker
-// once at most, and a lost zone must show by the first few.
-func (b *Balancer) lost(w *worker) {
-	b.hold(w, b.s.ConnectTimeout.Seconds(), "connections")
+// recordUnreachable handles a worker that could not be reached or whose connection was lost. In a large
+// fleet a dispatcher meets each worker at most once, so the first few failures must lower the expectation
+// for the whole group, or the loss of a zone would not show.
+func (b *Balancer) recordUnreachable(w *worker) {
+	b.holdBack(w, b.settings.ConnectTimeout.Seconds(), "unreachable or connection lost")
 	if b.largeFleet {
-		w.group.usual -= w.group.usual / 4
-		w.sure, w.sureAt, w.sign = 0, b.now, signNone
+		w.group.freeSlotRate -= w.group.freeSlotRate / 4
+		w.setEvidence(noEvidence, 0, b.now)
 	}
 }
 
-// hold keeps ordinary work from a suspect worker, for twice as long after each
-// failed trial.
-func (b *Balancer) hold(w *worker, base float64, why string) {
-	if b.now < w.held {
+// holdBack sends a suspect worker no ordinary jobs for base seconds. The time doubles with each consecutive
+// hold, up to 16 times base.
+func (b *Balancer) holdBack(w *worker, base float64, reason string) {
+	if b.now < w.heldUntil {
 		return
 	}
-	w.held = b.now + seconds(base*math.Pow(2, float64(min(w.strikes, 4))))
-	w.strikes++
-	b.heldMost = max(b.heldMost, w.held)
-	b.log(why, "worker %d held back until %.3f: %s", w.ID, w.held.Seconds(), why)
+	w.heldUntil = b.now + toDuration(base*math.Pow(2, float64(min(w.timesHeld, 4))))
+	w.timesHeld++
+	b.lastHoldEnd = max(b.lastHoldEnd, w.heldUntil)
+	b.log(reason, "worker %d held back until %.3f: %s", w.ID, w.heldUntil.Seconds(), reason)
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// printer carries out what a Balancer asks by printing it.
+// printer is a Host that prints the actions.
 type printer struct{}
 
 func (printer) Send(j balance.JobID, w balance.WorkerID, _ time.Duration) {
@@ -18,14 +18,14 @@
 }
 func (printer) Refuse(j balance.JobID, _ time.Duration) { fmt.Printf("refuse job %d\n", j) }
 func (printer) Fail(j balance.JobID)                    { fmt.Printf("fail job %d\n", j) }
-func (printer) SetTimer(time.Duration, uint64)          {} // a real host calls Timer with the token
+func (printer) SetTimer(time.Duration, uint64)          {} // a real Host calls TimerFired with the token
 func (printer) Watch()                                  {}
 func (printer) Fetch()                                  {}
 func (printer) SendToPeer(int, []byte)                  {}
 func (printer) Probe(balance.WorkerID)                  {}
 func (printer) Log(text string)                         { fmt.Println(text) }
 
-// One worker with one slot takes the first job; the second waits for its end.
+// A worker with one slot gets the first job. The second job waits until the first ends.
 func ExampleBalancer() {
 	b, err := balance.New(balance.Settings{
 		FleetSize: 1, WorkerKinds: 1, MaxAttempts: 3, AllowCancel: true, ConnectTimeout: 200 * time.Millisecond,
--- a/balance/large_fleet_test.go
+++ b/balance/large_fleet_test.go
@@ -1,265 +1,250 @@
 package balance
 
 import (
-	"math"
-	"math/rand/v2"
 	"testing"
 	"time"
-
-	"pgregory.net/rapid"
-
-	_ "tinroute.example/tinroute/internal/seeded"
 )
 
-// newLargeFleet returns n dispatchers that know a cold worker (1, started at 99 s) and a warm one (2),
-// both of weight 3, as a large fleet's new and old workers.
-func newLargeFleet(t *testing.T, n int) ([]*Balancer, []*recorder) {
+// largeFleetFixture returns one of 200 dispatchers, which may send each other messages.
+func largeFleetFixture(t *testing.T, workers int) (*Balancer, *recorder) {
 	t.Helper()
-	s := settings()
-	s.FleetSize = n
-	var bs []*Balancer
-	var rs []*recorder
-	for i := range n {
-		s.Position = i
-		r := newRecorder()
-		b, err := New(s, r)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: 1, Weight: 3, StartedAt: 99 * time.Second},
-			{ID: 2, Weight: 3}})
-		bs, rs = append(bs, b), append(rs, r)
+	s := peerSettings()
+	s.FleetSize = 200
+	return fixture(t, s, workers)
+}
+
+// The cost of messages to all peers grows with the square of the fleet, so a large fleet sends none.
+func TestLargeFleetSendsNoPeerUpdates(t *testing.T) {
+	b, r := largeFleetFixture(t, 4)
+	submit(b, time.Second, 1, idempotent)
+	advance(b, r, time.Second, 5*time.Second)
+	if len(r.messages) > 0 {
+		t.Fatalf("sent %d messages to 199 peers", len(r.messages))
 	}
-	return bs, rs
 }
 
-// A large fleet's new workers stood idle while its old ones queued: each cold worker's
-// budget was one dispatcher's of 80, and that one saw a job a second. The fleet together
-// must fill much of the budget, and never go past it.
-func TestLargeFleetFillsAColdWorkerWithinItsBudget(t *testing.T) {
-	const fleet = 80
-	bs, rs := newLargeFleet(t, fleet)
-	type spent struct {
-		when, cost float64
-		by         int
+// Dispatchers with the same information must not all choose the same worker.
+func TestLargeFleetSpreadsJobs(t *testing.T) {
+	got := map[WorkerID]int{}
+	for seed := range 40 {
+		s := peerSettings()
+		s.FleetSize, s.Seed = 200, uint64(seed)
+		b, r := fixture(t, s, 100)
+		b.byID[7].logSlownessSum, b.byID[7].logSlownessWeight = -5, 10 // all dispatchers know one fast worker
+		submit(b, 20*time.Second, 1, idempotent)
+		got[r.lastSend().to]++
 	}
-	var all []spent
-	id := JobID(1)
-	for now := 100 * time.Second; now < 108*time.Second; now += 20 * ms {
-		step := int(now / (20 * ms))
-		for i, b := range bs {
-			if (step+i*5)%50 != 0 { // a job a second at each, spread over the second
-				continue
-			}
-			before := len(rs[i].sends)
-			request(b, now, id, unsafe)
-			id++
-			for _, s := range rs[i].sends[before:] {
-				if s.to == 1 {
-					all = append(all, spent{now.Seconds(), b.classes[unsafe].mean, i})
-				}
-				end(b, now, s, StatusError) // room comes back at once
-				for _, w := range b.workers {
-					w.held, w.errors = 0, 0
-				}
-			}
-		}
+	if got[7] > 20 || len(got) < 10 {
+		t.Fatalf("40 dispatchers chose %v", got)
 	}
-	// What pushes the worker over in a window of 2 s from a: its weight, the cold share
-	// by then, the factor, and the slack for chance.
-	over := func(a float64) float64 { return pushesOver(3*2*3*(0.3+0.7*(a-99)/10), bs[0].meanRun()) }
-	most, owners := 0.0, map[int]bool{}
-	for i, a := range all {
-		owners[a.by] = true
-		sum := 0.0
-		for _, o := range all[i:] {
-			if o.when < a.when+2 {
-				sum += o.cost
-			}
-		}
-		if sum > 0.75*over(a.when) {
-			t.Fatalf("window from %.2f: %.2f s of work, safe is %.2f", a.when, sum, 0.75*over(a.when))
-		}
-		most = max(most, sum/over(a.when))
+}
+
+// A release makes most of a large fleet cold. A choice must not visit all cold workers.
+func TestLargeFleetConsidersFewCandidates(t *testing.T) {
+	b, _ := largeFleetFixture(t, 1)
+	var list []Member
+	for i := range 1000 {
+		list = append(list, Member{ID: WorkerID(i + 1), Weight: 1, StartedAt: 100 * time.Second})
 	}
-	if most < 0.35 || len(owners) < 4 {
-		t.Fatalf("at most %.2f of what would push the worker over in a window, from %d dispatchers",
-			most, len(owners))
+	b.UpdateMembers(101*time.Second, UpdateFull, list)
+	if n := len(b.candidates()); n > 3*randomCandidates {
+		t.Fatalf("%d of 1000 workers were considered for a choice", n)
 	}
 }
 
-// pushesOver is the work in a window that pushes a worker over which bears n by the settings.
-func pushesOver(n, mean float64) float64 { return n + 2*math.Sqrt(n*mean) + 2*mean }
+// The probability of a free slot is learned per zone, so when this zone's workers are full another zone's
+// are used.
+func TestLargeFleetUsesOtherZoneWhenFull(t *testing.T) {
+	b, r := largeFleetFixture(t, 8)
+	b.byID[1].group.freeSlotRate = 0.05
+	submit(b, 20*time.Second, 1, idempotent)
+	if b.byID[r.lastSend().to].Zone != 1 {
+		t.Fatalf("sent to a full zone: %v", r.sends)
+	}
+}
 
-// Whatever the fleet's size, the worker's size and age, and however greedy all dispatchers are at
-// once, with jobs of any sizes and with means learned apart: no window holds two thirds of what pushes
-// a cold worker over, so that no fall, with what those send that were not told of its start, is mostly
-// ours; and in none that is whole does most of the allowance have no owner.
-func TestLargeFleetKeepsEveryWindow(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		s := settings()
-		s.FleetSize = rapid.SampledFrom([]int{20, 24, 25, 30, 80, 300, 324}).Draw(t, "fleet")
-		s.OverloadWindow = rapid.SampledFrom([]time.Duration{500 * ms, time.Second, 2 * time.Second}).Draw(t, "span")
-		s.ColdCapacity = rapid.Float64Range(0.1, 0.9).Draw(t, "cold from")
-		weight := float64(rapid.IntRange(1, 8).Draw(t, "weight"))
-		spread := rapid.Float64Range(0, 0.25).Draw(t, "spread")
-		largest := rapid.Float64Range(0.2, 4).Draw(t, "largest") // in means
-		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		start := 100 * time.Second
-		id := WorkerID(rng.Uint32())
-		bs := make([]*Balancer, s.FleetSize)
-		var mean float64
-		for i := range bs {
-			s.Position = i
-			bs[i], _ = New(s, newRecorder())
-			bs[i].UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: id, Weight: weight, StartedAt: start}})
-			mean = bs[i].meanRun()
-			for c := range bs[i].classes {
-				bs[i].classes[c].mean *= 1 + spread*(2*rng.Float64()-1)
-			}
-		}
-		type spent struct{ at, cost float64 }
-		var all []spent
-		for now := start; now < start+s.WarmUp; now += s.OverloadWindow / 10 {
-			for _, i := range rng.Perm(len(bs)) {
-				b := bs[i]
-				b.now = now
-				w := b.byID[id]
-				for range 20 { // greedy, but not for ever
-					j := &job{Job: Job{ExpectedWork: seconds(mean * largest * rng.Float64())}, c: &b.classes[0]}
-					if !b.coldAllows(j, w) {
-						break
-					}
-					w.spent = append(w.spent, spending{now, b.sizeOf(j)})
-					all = append(all, spent{now.Seconds(), b.sizeOf(j)})
-				}
-			}
-		}
-		span, most := s.OverloadWindow.Seconds(), 0.0
-		for i, a := range all {
-			sum := 0.0
-			for _, o := range all[i:] {
-				if o.at < a.at+span-1e-9 {
-					sum += o.cost
-				}
-			}
-			age := a.at - start.Seconds()
-			over := pushesOver(s.OverloadFactor*weight*span*(s.ColdCapacity+(1-s.ColdCapacity)*age/s.WarmUp.Seconds()), mean)
-			if sum > 2.0/3*over {
-				t.Fatalf("window from %.2f s: %.2f of work, %.2f pushes it over", age, sum, over)
-			}
-			most = max(most, sum/over)
-		}
-		if s.FleetSize > largeFleetAbove && largest < 0.8 && most < 0.3 {
-			t.Fatalf("all greedy, and at most %.2f of what pushes it over", most)
-		}
-	})
+// Each of many dispatchers sends to a worker of a lost zone at most once, so the first few losses must count
+// for the whole zone.
+func TestLargeFleetAvoidsLostZone(t *testing.T) {
+	b, r := largeFleetFixture(t, 8)
+	for i := range 4 {
+		b.recordUnreachable(b.byID[WorkerID(i+1)])
+		b.byID[WorkerID(i+1)].heldUntil = 0
+	}
+	submit(b, 20*time.Second, 1, idempotent)
+	if b.byID[r.lastSend().to].Zone != 1 {
+		t.Fatalf("sent to a lost zone: %v", r.sends)
+	}
 }
 
-// A worker whose allowance held more usual jobs than there are dispatchers was cut into parts that
-// no one could own: 25 dispatchers had 25 of 46. All parts but one have an owner.
-func TestLargeFleetOwnsAllPartsButOne(t *testing.T) {
-	for _, fleet := range []int{25, 80, 324} {
-		s := settings()
-		s.FleetSize, s.ColdCapacity = fleet, 0.9
-		all, bears := 0.0, 0.0
-		for s.Position = range fleet {
-			b, err := New(s, newRecorder())
-			if err != nil {
-				t.Fatal(err)
-			}
-			b.UpdateMembers(90*time.Second, UpdateFull, []Member{{ID: 7, Weight: 8, StartedAt: 100 * time.Second}})
-			b.now = 106 * time.Second
-			w := b.byID[7]
-			all, bears = all+b.coldPart(w, 6*time.Second), b.coldBears(w, 6*time.Second, b.meanRun())
-		}
-		if all < 0.9*bears || all > 0.99*bears {
-			t.Errorf("%d dispatchers own %.1f s of work of %.1f that a large cold worker bears", fleet, all, bears)
-		}
+// If workers may be probed, a large fleet sends a job only after a worker has reported a free slot.
+func TestLargeFleetProbesBeforeSend(t *testing.T) {
+	s := settings()
+	s.FleetSize, s.AllowProbes = 200, true
+	b, r := fixture(t, s, 40)
+	b.waitingLimit = 0
+	submit(b, time.Second, 1, idempotent)
+	if len(r.probes) == 0 || len(r.sends) > 0 {
+		t.Fatalf("probes %v, sends %v", r.probes, r.sends)
+	}
+	free := NoLoadReport()
+	free.InFlight, free.FreeSlots = 0, 4
+	b.ProbeDone(1004*ms, r.probes[0], StatusOK, 4*ms, free)
+	if len(r.sends) != 1 || r.lastSend().to != r.probes[0] {
+		t.Fatalf("worker %d has room, sends %v", r.probes[0], r.sends)
+	}
+}
+
+// A non-idempotent job that waits in a worker's queue cannot move. Before it is sent without evidence of a
+// free slot, a few dispatchers are asked for such evidence, and each piece is used for one job.
+func TestLargeFleetAsksPeersForEvidence(t *testing.T) {
+	b, r := largeFleetFixture(t, 40)
+	submit(b, time.Second, 1, nonIdempotent)
+	if len(r.sends) > 0 || len(r.messages) == 0 || r.messages[0][0] != askMessage {
+		t.Fatalf("sends %v, messages %v", r.sends, r.messages)
+	}
+	b.PeerMessage(1010*ms, 7, []byte{slotMessage, 0, 0, 0, 9, 0})
+	if len(r.sends) != 1 || r.lastSend().to != 9 {
+		t.Fatalf("a peer named worker 9 as free, sends %v", r.sends)
+	}
+	submit(b, 2*time.Second, 2, nonIdempotent)
+	advance(b, r, 2*time.Second, 2100*ms)
+	if r.attemptsOf(2) != 1 {
+		t.Fatal("no answer came, and the job is not sent")
+	}
+}
+
+func TestLargeFleetGrantsSlotOnce(t *testing.T) {
+	b, r := largeFleetFixture(t, 40)
+	submit(b, time.Second, 1, idempotent)
+	reportStart(b, 1004*ms, r.lastSend())
+	reportResult(b, 1500*ms, r.lastSend(), StatusOK)
+	b.PeerMessage(1510*ms, 3, []byte{askMessage})
+	b.PeerMessage(1511*ms, 4, []byte{askMessage})
+	if len(r.messages) != 1 || r.messages[0][0] != slotMessage || WorkerID(r.messages[0][4]) != r.lastSend().to {
+		t.Fatalf("one slot became free, messages %v", r.messages)
 	}
 }
 
-// One of many sees at most a job or two of its own at a worker; taken for the worker's
-// size, that made every worker one slot, and its cold budget a third of what it is.
-func TestLargeFleetTakesASizeFromTheList(t *testing.T) {
-	bs, rs := newLargeFleet(t, 80)
-	b, r := bs[0], rs[0]
-	w := b.byID[2]
-	request(b, 100*time.Second, 1, safe)
-	if len(r.sends) == 0 {
-		t.Fatal("nothing sent")
+// A load report that comes with a result was made before the job ended and still counts it.
+func TestJobEndIsEvidenceDespiteReport(t *testing.T) {
+	b, r := largeFleetFixture(t, 40)
+	submit(b, time.Second, 1, idempotent)
+	reportStart(b, 1004*ms, r.lastSend())
+	full := NoLoadReport()
+	full.FreeSlots = 0
+	b.AttemptDone(1500*ms, AttemptResult{Job: 1, Worker: r.lastSend().to, Status: StatusOK, JobDone: true, Report: full})
+	if w := b.byID[r.lastSend().to]; w.evidence != evidenceJobEnded {
+		t.Fatalf("evidence %d, free slot probability %v", w.evidence, b.freeSlotProbability(w))
 	}
-	b.AttemptEvent(100*time.Second+10*ms, r.last().job, r.last().attempt, EventStarted, 0)
-	if got := b.estimate(w); got != 3 {
-		t.Fatalf("a worker of weight 3 with one job of ours started is taken for %v slots", got)
+}
+
+// A late start shows that a worker is full now, but not for long.
+func TestLargeFleetEvidenceFades(t *testing.T) {
+	b, r := largeFleetFixture(t, 1)
+	submit(b, time.Second, 1, nonIdempotent)
+	advance(b, r, time.Second, 2*time.Second)
+	w := b.byID[1]
+	if probability := b.freeSlotProbability(w); probability > 0.5 {
+		t.Fatalf("free slot probability %v right after a late start", probability)
 	}
-	// Alone, a dispatcher sees what a worker holds, and learns it by the count.
-	one, _ := fixture(t, settings(), 2)
-	one.byID[1].Weight = 3
-	one.setSlots(one.byID[1], 1)
-	if got := one.estimate(one.byID[1]); got != 1 {
-		t.Fatalf("a lone dispatcher takes a worker that it found full with one job for %v slots", got)
+	b.now = 10 * time.Second
+	if probability := b.freeSlotProbability(w); probability < 0.6 {
+		t.Fatalf("free slot probability %v long after a late start", probability)
 	}
 }
 
-// In a large fleet others' jobs are ahead of some of ours at every worker. Where a start that
-// took three least lags counted as late, every dispatcher copied jobs that merely queued
-// for tens of milliseconds, twice each, and all together filled every queue with copies.
-func TestALargeFleetDoesNotCopyAJobThatMerelyQueues(t *testing.T) {
+// Other dispatchers use the slots, so an idempotent job waits in the queues of several workers. The first
+// attempt to start wins and the others are cancelled.
+func TestLargeFleetJobWaitsAtSeveralWorkers(t *testing.T) {
+	b, r := largeFleetFixture(t, 8)
+	submit(b, time.Second, 1, idempotent)
+	advance(b, r, time.Second, 1400*ms)
+	if r.attemptsOf(1) < 3 {
+		t.Fatalf("no attempt started, and the job waits at only %d workers", r.attemptsOf(1))
+	}
+	reportStart(b, 1410*ms, r.sends[1])
+	if len(r.cancels) != r.attemptsOf(1)-1 {
+		t.Fatalf("%d sends, one start, %d cancelled", r.attemptsOf(1), len(r.cancels))
+	}
+}
+
+// In a large fleet, jobs of other dispatchers are ahead of some attempts at every worker. When a start counted as
+// late after three times the shortest start lag, every dispatcher made two copies of jobs that had queued for
+// only tens of milliseconds, and the copies filled every queue.
+func TestLargeFleetDoesNotCopyQueuedJob(t *testing.T) {
 	for _, wait := range []time.Duration{40 * ms, 100 * ms, 200 * ms} {
 		s := settings()
 		s.FleetSize = 80
 		b, r := fixture(t, s, 4)
 		at := 10 * time.Second
-		for i := range 20 { // starts after 4 ms teach the least lag
-			request(b, at, JobID(100+i), safe)
-			start(b, at+4*ms, r.last())
-			end(b, at+30*ms, r.last(), StatusOK)
+		for i := range 20 { // starts after 4 ms set the shortest start lag
+			submit(b, at, JobID(100+i), idempotent)
+			reportStart(b, at+4*ms, r.lastSend())
+			reportResult(b, at+30*ms, r.lastSend(), StatusOK)
 			at += 100 * ms
 		}
-		request(b, at, 1, safe)
-		pass(b, r, at, at+wait)
-		copied := r.sentTo(1) > 1
-		// The class's aim is 300 ms: half of it may go by in a queue.
+		submit(b, at, 1, idempotent)
+		advance(b, r, at, at+wait)
+		copied := r.attemptsOf(1) > 1
+		// The class's target is 300 ms; half of it may pass in a queue.
 		if late := wait > 150*ms; copied != late {
-			t.Fatalf("a job that waited %v to start: copied %v", wait, copied)
+			t.Fatalf("a job waited %v for its start: copied is %v", wait, copied)
 		}
 	}
 }
 
-// Tries whose connection never came up are no attempts, but they are bounded too.
-func TestUnreachedTriesAreBounded(t *testing.T) {
-	b, r := fixture(t, settings(), 20)
-	request(b, 10*time.Second, 1, safe)
-	for i := 0; i < 30 && len(r.sends) > i; i++ {
-		end(b, 10*time.Second+time.Duration(i)*ms, r.sends[i], StatusUnreachable)
-	}
-	if got := r.sentTo(1); got != 3*4 {
-		t.Fatalf("%d tries, all unreached, at most 4 attempts: want 12", got)
+// A job that has not started and can no longer be in time only delays others.
+func TestLargeFleetRefusesLateWaitingJob(t *testing.T) {
+	b, r := largeFleetFixture(t, 2)
+	b.fleetSlowness = 3 // a job of any size is late once the target has passed
+	submit(b, time.Second, 1, idempotent)
+	advance(b, r, time.Second, 3*time.Second)
+	if r.answers[1] != "refused" || len(r.cancels) != r.attemptsOf(1) {
+		t.Fatalf("answers %v, cancels %v of %d sends", r.answers, r.cancels, r.attemptsOf(1))
 	}
+}
+
+// An attempt that failed at once must not hide the job's earlier attempts, which still wait.
+func TestFailedAttemptDoesNotHideWaitingOne(t *testing.T) {
+	b, r := largeFleetFixture(t, 8)
+	b.fleetSlowness = 3
+	submit(b, time.Second, 1, idempotent)
+	b.settings.MaxAttempts = 2
+	advance(b, r, time.Second, 1250*ms)
+	reportResult(b, 1260*ms, r.lastSend(), StatusFull)
+	advance(b, r, 1260*ms, 3*time.Second)
 	if r.answers[1] != "refused" {
-		t.Fatalf("answer %q", r.answers[1])
+		t.Fatalf("answers %v", r.answers)
 	}
 }
 
-// Among few, one dispatcher sees enough work to fill a cold worker's budget: it keeps all of
-// it in its turn. Parts of it were too small for the larger jobs, and the hand day, where a
-// worker taken back returns cold, lost by them.
-func TestAFewKeepAColdBudgetWhole(t *testing.T) {
-	s := settings()
-	s.FleetSize = 2
-	sent := 0
-	for pos := range 2 {
-		s.Position = pos
-		b, r := fixture(t, s, 1)
-		w := b.byID[1]
-		w.StartedAt, w.slots = 99*time.Second, 4
-		// Age 1 s: the budget is 0.7 x 3 x 0.3 x 4 x 2 s, about 5 s of work; this job is 3.5.
-		b.SubmitJob(100*time.Second, Job{ID: 1, Class: unsafe, Tenant: -1, ClientTimeout: 8 * time.Second, Slots: 1,
-			ExpectedWork: 3500 * ms})
-		sent += len(r.sends)
+// Late starts reduce the limit on jobs that wait in workers' queues. Otherwise an overload would build up
+// there, where jobs cannot be shed.
+func TestLateStartsReduceWaitingLimit(t *testing.T) {
+	b, r := largeFleetFixture(t, 8)
+	b.fleetSlowness = 1.5
+	before := b.waitingLimit
+	submit(b, time.Second, 1, nonIdempotent)
+	advance(b, r, time.Second, 1800*ms)
+	reportStart(b, 1800*ms, r.lastSend())
+	if b.waitingLimit > before/2 {
+		t.Fatalf("limit on waiting jobs is %v, was %v", b.waitingLimit, before)
 	}
-	if sent != 1 {
-		t.Fatalf("a job of two thirds of a cold worker's budget sent by %d of 2 dispatchers", sent)
+}
+
+// Under overload, a waiting job that will probably be late blocks more promising ones.
+func TestOverloadRefusesUnlikelyWaitingJob(t *testing.T) {
+	for _, c := range []struct {
+		limit float64
+		want  string
+	}{{2, ""}, {0, "refused"}} {
+		b, r := largeFleetFixture(t, 2)
+		submit(b, time.Second, 1, idempotent)
+		b.waitingLimit, b.fleetSlowness = c.limit, 1.5
+		advance(b, r, time.Second, 1700*ms)
+		if r.answers[1] != c.want {
+			t.Errorf("limit on waiting jobs %v: answer %q, want %q", c.limit, r.answers[1], c.want)
+		}
 	}
 }
--- a/balance/earlier_test.go
+++ b/balance/prior_attempt_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// An attempt from before the Request binds later ones as one of the Balancer's own: to its
-// group, to its span, and against a refusal.
-func TestEarlierAttemptBinds(t *testing.T) {
+// An attempt from before the job was submitted restricts later ones as an attempt of the Balancer would: to the
+// dedup scope and window, and it rules out a refusal.
+func TestPriorAttemptRestrictsRetries(t *testing.T) {
 	s := settings()
 	s.Classes = []Class{
 		{Name: "cell", Target: time.Second, Deadline: 20 * time.Second, Worth: 1, Idempotency: Deduplicated, DedupScope: ScopeCell, DedupWindow: 5 * time.Second, WorkerKind: -1},
-		{Name: "unsafe", Target: time.Second, Deadline: 20 * time.Second, Worth: 1, Idempotency: NonIdempotent, WorkerKind: -1}}
+		{Name: "non-idempotent", Target: time.Second, Deadline: 20 * time.Second, Worth: 1, Idempotency: NonIdempotent, WorkerKind: -1}}
 	r := newRecorder()
 	b, err := New(s, r)
 	if err != nil {
@@ -22,16 +22,16 @@
 		members = append(members, Member{ID: WorkerID(i + 1), Weight: 1, Cell: i % 3})
 	}
 	b.UpdateMembers(0, UpdateFull, members)
-	at := time.Minute // past what a dispatcher may have forgotten of cold workers
+	at := time.Minute // past the time in which a new dispatcher sends nothing to cold workers
 	for i := range JobID(8) {
 		b.SubmitJob(at, Job{ID: i + 1, Class: 0, Tenant: -1, ClientTimeout: 20 * time.Second, Slots: 1, PriorAttempt: &PriorAttempt{Cell: 2, Age: time.Second}})
 	}
 	if len(r.sends) == 0 {
-		t.Fatal("nothing was sent")
+		t.Fatal("no job was sent")
 	}
-	for _, x := range r.sends {
-		if (x.to-1)%3 != 2 {
-			t.Fatalf("job %d went to cell %d", x.job, (x.to-1)%3)
+	for _, send := range r.sends {
+		if (send.to-1)%3 != 2 {
+			t.Fatalf("job %d went to cell %d", send.job, (send.to-1)%3)
 		}
 	}
 	sends := len(r.sends)
@@ -43,9 +43,9 @@
 	if len(r.sends) < sends {
 		t.Fatal("sends were lost")
 	}
-	for _, x := range r.sends {
-		if x.job >= 20 {
-			t.Fatalf("job %d was sent: it may have run, and its span is over or its class forbids a repeat", x.job)
+	for _, send := range r.sends {
+		if send.job >= 20 {
+			t.Fatalf("job %d was sent although it may have run, and its dedup window is over or its class forbids a repeat", send.job)
 		}
 	}
 	for _, id := range []JobID{20, 21} {
--- a/balance/schedule.go
+++ b/balance/schedule.go
@@ -6,99 +6,103 @@
 	"time"
 )
 
-// schedule is the one scheduling step, run whenever room or work may have come.
+// This file holds the scheduling step.
+
+// schedule runs a scheduling step. Each event that may have added jobs or free slots ends with it.
 func (b *Balancer) schedule() {
-	b.expire()
-	b.weigh()
-	b.watchStarts()
-	for b.copyOverdue() {
+	b.expireJobs()
+	b.detectCommonCause()
+	b.checkLateStarts()
+	for b.copyOverdueJob() {
 	}
-	b.drain()
-	if len(b.queue) > 0 && b.now >= b.queue[0].hold {
-		b.shed()
+	b.sendQueued()
+	if len(b.queue) > 0 && b.now >= b.queue[0].waitForEvidenceUntil {
+		b.shedQueue()
 	}
-	b.tellPeers()
-	b.arm()
+	b.sendPeerUpdates()
+	b.armTimer()
 }
 
-// expire answers queued jobs whose patience has run out.
-func (b *Balancer) expire() {
-	if b.askAgain > 0 && b.now >= b.askAgain {
-		b.ask()
-	}
-	if b.now >= b.nextEnd {
-		b.nextEnd = math.MaxInt64
-		for _, j := range slices.Clone(b.queue) {
-			if b.now >= j.end-margin {
-				b.log("unserved", "job %d not served: its client's patience is over", j.ID)
-				b.answer(j)
-			} else {
-				b.nextEnd = min(b.nextEnd, j.end-margin)
-			}
+// expireJobs answers queued jobs whose client is about to give up. It also repeats an overdue request for
+// the membership list.
+func (b *Balancer) expireJobs() {
+	if b.nextMembersRequest > 0 && b.now >= b.nextMembersRequest {
+		b.requestMembers()
+	}
+	if b.now < b.nextExpiry {
+		return
+	}
+	b.nextExpiry = math.MaxInt64
+	for _, j := range slices.Clone(b.queue) {
+		if b.now >= j.expiresAt-answerMargin {
+			b.log("expired", "job %d not served: its client's timeout is over", j.ID)
+			b.answerUnserved(j)
+		} else {
+			b.nextExpiry = min(b.nextExpiry, j.expiresAt-answerMargin)
 		}
 	}
 }
 
-// shed gives up the work of least worth while the queue is longer than it can bear:
-// first-come order under overload would serve every job just too late. What is given up
-// is answered at once, with the time that the queue ahead of it takes as the time to come
-// back: held for its client's patience it would keep a terminal waiting for nothing. A job
-// that may have run stays, since its client could not be told to come back.
-func (b *Balancer) shed() {
+// shedQueue refuses the jobs with the lowest worth density while the queue is too long. Under overload,
+// first-come order would serve every job just too late. A shed job is refused at once, with the predicted
+// wait as the retry delay: kept in the queue, it would let its client wait in vain until it gives up. A
+// job that may have run is not shed, since its client could not be told to retry.
+func (b *Balancer) shedQueue() {
 	slots := 1.0
 	for _, w := range b.workers {
-		slots += w.used
-	}
-	ahead := 0.0
-	for k := 0; k < len(b.queue); k++ {
-		j := b.queue[k]
-		wait := ahead * b.pace / slots
-		if b.chance(j, bearable*wait) >= fair || j.firstRan() != nil {
-			ahead += b.sizeOf(j)
+		slots += w.usedSlots
+	}
+	workAhead := 0.0
+	for i := 0; i < len(b.queue); i++ {
+		j := b.queue[i]
+		wait := workAhead * b.fleetSlowness / slots
+		if b.onTimeProbability(j, waitFactor*wait) >= likelyOnTime || j.firstThatRan() != nil {
+			workAhead += b.expectedWork(j)
 			continue
 		}
-		victim, least := k, b.density(j, 0)
-		for i, o := range b.queue[:k] {
-			if d := b.density(o, 0); d < least && o.firstRan() == nil {
-				victim, least = i, d
+		victim, lowest := i, b.worthDensity(j, 0)
+		for k, earlier := range b.queue[:i] {
+			if density := b.worthDensity(earlier, 0); density < lowest && earlier.firstThatRan() == nil {
+				victim, lowest = k, density
 			}
 		}
-		o := b.queue[victim]
-		b.log("shed", "job %d given up: the queue is too long by %.2f s", o.ID, wait)
-		b.comeBack = seconds(wait)
-		b.answer(o)
-		b.comeBack = 0
-		k--
-		if victim <= k {
-			ahead -= b.sizeOf(o)
-			k--
+		shed := b.queue[victim]
+		b.log("shed", "job %d shed: the predicted queue wait of %.2f s is too long", shed.ID, wait)
+		b.retryAfter = toDuration(wait)
+		b.answerUnserved(shed)
+		b.retryAfter = 0
+		i-- // the queue is now shorter by one
+		if victim <= i {
+			workAhead -= b.expectedWork(shed)
+			i-- // consider j again, with less work ahead
 		}
 	}
 }
 
-// drain sends the queue's heads while there is room.
-func (b *Balancer) drain() {
-	b.kept = b.kept[:0]
-	for i := 0; i < min(len(b.queue), lookahead); {
+// sendQueued sends the first jobs of the queue while there is room.
+func (b *Balancer) sendQueued() {
+	b.reserved = b.reserved[:0]
+	for i := 0; i < min(len(b.queue), queueLookahead); {
 		j := b.queue[i]
-		if j.c.LateWorth == 0 && b.chance(j, 0) < minChance {
-			// Work that can no longer be in time would make the next late too.
-			b.log("hopeless", "job %d refused: it can no longer be in time", j.ID)
-			b.answer(j)
+		if j.class.LateWorth == 0 && b.onTimeProbability(j, 0) < minOnTimeProbability {
+			// A job that cannot be in time would only make the next one late too.
+			b.log("late", "job %d refused: it can no longer be in time", j.ID)
+			b.answerUnserved(j)
 			continue
 		}
-		w := b.pick(j, false)
-		if w == nil && b.now >= b.nextTry && b.now >= j.hold {
-			w = b.pick(j, true)
+		w := b.selectWorker(j, false)
+		if w == nil && b.now >= b.nextOvercommit && b.now >= j.waitForEvidenceUntil {
+			w = b.selectWorker(j, true)
 		}
 		if w == nil {
-			if !j.bound() && j.Slots <= 1 && b.now >= j.hold {
+			if !j.restricted() && j.Slots <= 1 && b.now >= j.waitForEvidenceUntil {
 				return
 			}
-			// Held back by its group or size: others may pass, but not into the
-			// worker that is next to fit it, or a large job would wait for ever.
+			// The job is limited to some workers, needs several slots or waits for evidence of a
+			// free slot. Other jobs may overtake it, but not at the worker that is most likely to
+			// fit a large job next, or it would wait forever.
 			if j.Slots > 1 {
-				b.keep(j)
+				b.reserveWorker(j)
 			}
 			i++
 			continue
@@ -109,46 +113,47 @@
 	}
 }
 
-// arm sets one timer for the next instant at which time alone changes something.
-func (b *Balancer) arm() {
-	at := b.nextEnd
-	soon := func(t time.Duration) {
+// armTimer sets a timer for the earliest time at which a step could have an effect without another event.
+func (b *Balancer) armTimer() {
+	at := b.nextExpiry
+	consider := func(t time.Duration) {
 		if t > b.now {
 			at = min(at, t)
 		}
 	}
-	if b.askAgain > 0 {
-		soon(b.askAgain)
+	if b.nextMembersRequest > 0 {
+		consider(b.nextMembersRequest)
 	}
-	if len(b.dirty) > 0 {
-		soon(b.tellAt)
+	if len(b.dirtyWorkers) > 0 {
+		consider(b.nextPeerUpdate)
 	}
-	if b.s.AllowPeerMessages && b.s.ProgressInterval == 0 && len(b.running) > 0 {
-		soon(b.heartbeatAt + heartbeatInterval) // long work would pass for a dead peer's
+	if b.settings.AllowPeerMessages && b.settings.ProgressInterval == 0 && len(b.running) > 0 {
+		// Without heartbeats during a long job, peers would take this dispatcher for dead.
+		consider(b.nextHeartbeat + heartbeatInterval)
 	}
-	for _, j := range b.queue[:min(len(b.queue), lookahead)] {
-		soon(j.hold)
+	for _, j := range b.queue[:min(len(b.queue), queueLookahead)] {
+		consider(j.waitForEvidenceUntil)
 	}
 	for _, a := range b.starting {
-		if !a.stuck {
-			soon(a.sent + b.startBound(a))
+		if !a.startOverdue {
+			consider(a.sentAt + b.startTimeout(a))
 		} else if b.largeFleet {
-			soon(b.now + seconds(b.meanRun()/8))
+			consider(b.now + toDuration(b.meanRun()/8))
 		}
 	}
 	if len(b.queue) > 0 {
-		soon(b.now + seconds(b.meanRun()/8))
-		soon(b.nextTry)
+		consider(b.now + toDuration(b.meanRun()/8))
+		consider(b.nextOvercommit)
 		if !b.largeFleet {
 			for _, w := range b.workers {
-				soon(w.held)
-				soon(w.nextTry)
+				consider(w.heldUntil)
+				consider(w.nextOvercommit)
 			}
 		}
 	}
-	if at < b.armed && at < math.MaxInt64 {
-		b.armed = at
-		b.token++
-		b.host.SetTimer(max(at-b.now, b.s.Tick), b.token)
+	if at < b.timerAt && at < math.MaxInt64 {
+		b.timerAt = at
+		b.timerToken++
+		b.host.SetTimer(max(at-b.now, b.settings.Tick), b.timerToken)
 	}
 }
--- a/balance/thresholds.go
+++ b/balance/thresholds.go
@@ -5,98 +5,112 @@
 	"slices"
 )
 
-// setLimits finds each pair's threshold anew.
-func (b *Balancer) setLimits(hinted bool) {
+// This file holds the copy thresholds of AdaRep.
+
+// Number of quantiles that represent the samples of a kind in the search for thresholds.
+const thresholdQuantiles = 12
+
+// updateThresholds computes the copy threshold for each pair of worker kinds from the samples. workKnown says
+// whether jobs arrive with an expected work.
+func (b *Balancer) updateThresholds(workKnown bool) {
 	sizes := []float64{1}
-	if !hinted { // the job's size is the copies' common factor (the paper's footnote 1)
+	if !workKnown { // the work is a common factor of a job's copies (the paper's footnote 1)
 		sizes = sizes[:0]
 		for q := -1.5; q <= 1.6; q++ {
-			sizes = append(sizes, math.Exp(q*math.Sqrt(b.classes[0].logVar)))
+			sizes = append(sizes, math.Exp(q*math.Sqrt(b.classes[0].logWorkVar)))
+		}
+	}
+	samples := b.samplesByKind()
+	for u := range b.kinds {
+		for i := range u + 1 {
+			out, back := math.Inf(1), math.Inf(1)
+			if len(samples[u]) >= thresholdQuantiles && len(samples[i]) >= thresholdQuantiles {
+				out, back = CopyThresholds(samples[u], samples[i], sizes, b.fleetStartLag)
+			}
+			b.kinds[u].copyThresholds[i], b.kinds[i].copyThresholds[u] = out, back
 		}
 	}
-	windows := make([][]float64, len(b.kinds))
+}
+
+// samplesByKind returns the quantiles of the slowness samples of each kind of worker.
+func (b *Balancer) samplesByKind() [][]float64 {
+	samples := make([][]float64, len(b.kinds))
 	for u := range b.kinds {
-		windows[u] = slices.Clone(b.kinds[u].window)
+		samples[u] = slices.Clone(b.kinds[u].samples)
 	}
-	for _, j := range b.running { // unfinished work is a sample too, or stragglers would not show
+	for _, j := range b.running { // include running jobs, or stragglers would not show
 		a := j.attempts[len(j.attempts)-1]
-		size := b.sizeOf(j)
-		if j.ExpectedWork <= 0 { // only what is too long for a large job can be the worker's doing
-			size = math.Exp(j.c.logMean + 2*math.Sqrt(j.c.logVar))
+		work := b.expectedWork(j)
+		if j.ExpectedWork <= 0 { // only a run too long even for a large job can be due to the worker
+			work = math.Exp(j.class.logWorkMean + 2*math.Sqrt(j.class.logWorkVar))
 		}
-		if x := (b.now - a.begun).Seconds() / size; !a.done && a.started && x > b.slow(a.w) {
-			windows[a.w.Kind] = append(windows[a.w.Kind], x)
+		slowness := (b.now - a.startedAt).Seconds() / work
+		if !a.done && a.started && slowness > b.slowness(a.worker) {
+			samples[a.worker.Kind] = append(samples[a.worker.Kind], slowness)
 		}
 	}
-	for u := range windows {
-		windows[u] = thin(windows[u])
-	}
-	for u := range b.kinds {
-		for i := range u + 1 {
-			b.kinds[u].limit[i], b.kinds[i].limit[u] = math.Inf(1), math.Inf(1)
-			if len(windows[u]) >= thinned && len(windows[i]) >= thinned {
-				out, back := CopyThresholds(windows[u], windows[i], sizes, b.lag)
-				b.kinds[u].limit[i], b.kinds[i].limit[u] = out, back
-			}
-		}
+	for u := range samples {
+		samples[u] = quantiles(samples[u])
 	}
+	return samples
 }
 
-// CopyThresholds returns the elapsed times after which a job begun on a worker of the
-// first kind (samples x1) is copied to one of the second (x2), and the reverse.
-// Each is the best with the other at infinity, equation (27) of the paper; both
-// stay finite only if equation (23) then promises more than either alone.
-func CopyThresholds(x1, x2, sizes []float64, window float64) (out, back float64) {
-	out, r1 := threshold(x1, x2, sizes, window)
-	back, r2 := threshold(x2, x1, sizes, window)
-	both := bothRate(x1, x2, sizes, window, out, back)
-	if math.IsInf(out, 1) || math.IsInf(back, 1) || both >= max(r1, r2) {
+// CopyThresholds returns the elapsed time after which a job that runs on a worker of the first kind, with
+// samples x1, is copied to one of the second kind, with samples x2, and that for the reverse direction. lag
+// is the time from the send of a copy to its start. Each threshold is the best one while the other is
+// infinite, by equation (27) of the paper. Both are finite only if equation (23) then promises at least the
+// throughput of either alone.
+func CopyThresholds(x1, x2, sizes []float64, lag float64) (out, back float64) {
+	out, outRate := bestThreshold(x1, x2, sizes, lag)
+	back, backRate := bestThreshold(x2, x1, sizes, lag)
+	bothRate := twoWayThroughput(x1, x2, sizes, lag, out, back)
+	if math.IsInf(out, 1) || math.IsInf(back, 1) || bothRate >= max(outRate, backRate) {
 		return out, back
 	}
-	if r1 >= r2 {
+	if outRate >= backRate {
 		return out, math.Inf(1)
 	}
 	return math.Inf(1), back
 }
 
-// threshold tries times at which work was seen to end, and infinity, which means
-// never.
-func threshold(from, to, sizes []float64, window float64) (best, rate float64) {
-	best, rate = math.Inf(1), soloRate(from, to, sizes, window, math.Inf(1))
-	for _, x := range from {
-		if r := soloRate(from, to, sizes, window, x); r > rate*(1+1e-9) {
-			best, rate = x, r
+// bestThreshold returns the threshold with the highest throughput among the times of the samples and
+// infinity, which means never to copy. It also returns that throughput.
+func bestThreshold(from, to, sizes []float64, lag float64) (best, rate float64) {
+	best, rate = math.Inf(1), oneWayThroughput(from, to, sizes, lag, math.Inf(1))
+	for _, t := range from {
+		if r := oneWayThroughput(from, to, sizes, lag, t); r > rate*(1+1e-9) {
+			best, rate = t, r
 		}
 	}
 	return best, rate
 }
 
-// thin returns evenly spaced quantiles of a window; a short one it leaves alone.
-func thin(window []float64) []float64 {
-	slices.Sort(window)
-	if len(window) <= thinned {
-		return window
+// quantiles sorts the samples and returns evenly spaced quantiles, or all samples if there are few.
+func quantiles(samples []float64) []float64 {
+	slices.Sort(samples)
+	if len(samples) <= thresholdQuantiles {
+		return samples
 	}
-	out := make([]float64, thinned)
+	out := make([]float64, thresholdQuantiles)
 	for i := range out {
-		out[i] = window[i*(len(window)-1)/(thinned-1)]
+		out[i] = samples[i*(len(samples)-1)/(thresholdQuantiles-1)]
 	}
 	return out
 }
 
-// spans returns E[min(X, t)] and Pr(X > t)(window + E[min(O, X-t | X > t)]) for a
-// job that runs X = size x from and whose copy runs O = size x to: the two parts
-// of the paper's equation (28).
-func spans(from, to, sizes []float64, window, t float64) (head, tail float64) {
-	for _, y := range sizes {
+// expectedSpans returns E[min(X, t)] and Pr(X > t)(lag + E[min(O, X-t | X > t)]) for a job that runs for
+// X = size * from and whose copy runs for O = size * to. These are the two parts of the paper's equation
+// (28).
+func expectedSpans(from, to, sizes []float64, lag, t float64) (head, tail float64) {
+	for _, size := range sizes {
 		for _, x := range from {
-			head += min(y*x, t)
-			if y*x <= t {
+			head += min(size*x, t)
+			if size*x <= t {
 				continue
 			}
-			tail += window
+			tail += lag
 			for _, o := range to {
-				tail += min(y*o, y*x-t) / float64(len(to))
+				tail += min(size*o, size*x-t) / float64(len(to))
 			}
 		}
 	}
@@ -104,24 +118,24 @@
 	return head / n, tail / n
 }
 
-// soloRate is the throughput R(t) of a pair of workers when only jobs of the first
-// are copied, after t: equation (27).
-func soloRate(from, to, sizes []float64, window, t float64) float64 {
-	head, tail := spans(from, to, sizes, window, t)
+// oneWayThroughput returns the throughput R(t) of a pair of workers when only jobs of the first are copied,
+// after t: equation (27).
+func oneWayThroughput(from, to, sizes []float64, lag, t float64) float64 {
+	head, tail := expectedSpans(from, to, sizes, lag, t)
 	return head/(head+tail)/(mean(to)*mean(sizes)) + 1/(head+tail)
 }
 
-// bothRate is the throughput with both thresholds finite: equations (23) to (25).
-func bothRate(x1, x2, sizes []float64, window, t1, t2 float64) float64 {
-	head1, tail1 := spans(x1, x2, sizes, window, t1)
-	head2, tail2 := spans(x2, x1, sizes, window, t2)
+// twoWayThroughput returns the throughput with both thresholds finite: equations (23) to (25).
+func twoWayThroughput(x1, x2, sizes []float64, lag, t1, t2 float64) float64 {
+	head1, tail1 := expectedSpans(x1, x2, sizes, lag, t1)
+	head2, tail2 := expectedSpans(x2, x1, sizes, lag, t2)
 	return (head1 + head2) / (head1 * head2 * (1 + tail1/head1 + tail2/head2))
 }
 
-func mean(x []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
-	for _, v := range x {
-		sum += v
+	for _, value := range values {
+		sum += value
 	}
-	return sum / float64(len(x))
+	return sum / float64(len(values))
 }
--- a/balance/view.go
+++ b/balance/view.go
@@ -5,39 +5,48 @@
 	"time"
 )
 
-// View is what the policy holds of the regions, for those who watch it.
+// View is a snapshot of the policy's state, for monitoring.
 type View struct {
-	Queued  int // jobs that wait for room
-	Running int // jobs with an attempt out
+	Queued  int // queued jobs
+	Running int // jobs with an attempt in flight
 	Workers []WorkerView
-	// Thresholds are, by the kind of the worker that has a job and the kind of the one that is free,
-	// after how many mean runs the job is copied; infinite where it never is.
+	// CopyThresholds are indexed by the kind of the worker that runs a job and the kind of a free
+	// worker. A job is copied after that many times its expected work; never, if the value is infinite.
 	CopyThresholds [][]float64
 }
 
-// WorkerView is the policy's view of one worker.
+// WorkerView is a snapshot of the policy's state of one worker.
 type WorkerView struct {
 	ID           WorkerID
 	Slots        float64       // estimated size
-	Used         float64       // slots of own attempts out
-	UsedByOthers float64       // slots held by unseen dispatchers, as far as reports show them
-	Slowness     float64       // of its speed, against the fleet's mean
-	ErrorRate    float64       // smoothed share of errors
-	HeldFor      time.Duration // gets no ordinary work for so long, 0 where it does
+	Used         float64       // slots of this dispatcher's attempts
+	UsedByOthers float64       // slots of other dispatchers, as far as load reports show them
+	Slowness     float64       // run time relative to the fleet's mean
+	ErrorRate    float64       // smoothed error rate
+	HeldFor      time.Duration // time until it gets ordinary jobs again, 0 if it is not held back
 	Serving      bool
 }
 
-// View tells what the policy holds now. It changes nothing.
+// View returns a snapshot of the policy's state. It changes nothing.
 func (b *Balancer) View(now time.Duration) View {
 	v := View{Queued: len(b.queue), Running: len(b.running), Workers: make([]WorkerView, 0, len(b.workers))}
 	for _, w := range b.workers {
-		if w.State != Gone {
-			v.Workers = append(v.Workers, WorkerView{ID: w.ID, Slots: w.slots, Used: w.used, UsedByOthers: w.others, Slowness: w.slowness,
-				ErrorRate: w.errors, HeldFor: max(0, w.held-now), Serving: w.State == Serving})
+		if w.State == Gone {
+			continue
 		}
+		v.Workers = append(v.Workers, WorkerView{
+			ID:           w.ID,
+			Slots:        w.slots,
+			Used:         w.usedSlots,
+			UsedByOthers: w.otherSlots,
+			Slowness:     w.lastSlowness,
+			ErrorRate:    w.errorRate,
+			HeldFor:      max(0, w.heldUntil-now),
+			Serving:      w.State == Serving,
+		})
 	}
 	for i := range b.kinds {
-		v.CopyThresholds = append(v.CopyThresholds, slices.Clone(b.kinds[i].limit))
+		v.CopyThresholds = append(v.CopyThresholds, slices.Clone(b.kinds[i].copyThresholds))
 	}
 	return v
 }
