--- a/cmd/tinroute/upgrade_test.go
+++ b/cmd/tinroute/upgrade_test.go
@@ -238,7 +238,7 @@
 	require.Zero(t, detachedWorker.lateRequests.Load(), "one of the processes sent work to the detached worker")
 	require.Greater(t, attachedWorker.accepted.Load(), int64(0))
 	require.Contains(t, metrics, "edge_lb.hosts_down:1|g", "the worker must stay detached in the new process\n%s", metrics)
-	require.Contains(t, logs[1].String(), "workers out by hand, taken over")
+	require.Contains(t, logs[1].String(), "adopted detached workers from the previous process")
 	require.Less(t, exitTime, 3700*time.Millisecond, "the old process must exit before it would be killed")
 	require.NoError(t, newCmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, newCmd.Wait())
--- a/internal/cli/budgets.go
+++ b/internal/cli/budgets.go
@@ -16,63 +16,63 @@
 	"tinroute.example/tinroute/internal/fleet/share"
 )
 
-type fleetBudgets struct {
-	Show fleetBudgetsShow `cmd:"" default:"withargs" help:"Tell the budgets and their holders, as the leader knows them."`
-	Set  fleetBudgetsSet  `cmd:"" help:"Change figures of one budget, as the next version of all."`
+type fleetBudgetsCmd struct {
+	Show fleetBudgetsShowCmd `cmd:"" default:"withargs" help:"Show the budgets and their holders, as the leader knows them."`
+	Set  fleetBudgetsSetCmd  `cmd:"" help:"Change values of one budget; this creates the next version of all budgets."`
 }
 
-type fleetBudgetsShow struct {
-	fleetFile
-	JSON bool `help:"Tell it as JSON." name:"json"`
+type fleetBudgetsShowCmd struct {
+	fleetFileFlag
+	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run asks the leader.
-func (w *fleetBudgetsShow) Run(r *run) error {
-	_, o, err := w.leader(r)
+// Run prints the budgets as the leader reports them.
+func (cmd *fleetBudgetsShowCmd) Run(r *runContext) error {
+	_, overview, err := cmd.loadAndQueryLeader(r)
 	if err != nil {
 		return err
 	}
-	if w.JSON {
+	if cmd.JSON {
 		enc := json.NewEncoder(r.Out)
 		enc.SetIndent("", "  ")
-		return enc.Encode(o)
+		return enc.Encode(overview)
 	}
-	fmt.Fprintf(r.Out, "version %d, led by %q\n", o.Version, o.Leader)
-	tell(r.Out, o)
+	fmt.Fprintf(r.Out, "version %d, led by %q\n", overview.Version, overview.Leader)
+	printBudgets(r.Out, overview)
 	return nil
 }
 
-type fleetBudgetsSet struct {
-	fleetFile
+type fleetBudgetsSetCmd struct {
+	fleetFileFlag
 	Budget string             `arg:"" help:"The budget's name."`
-	Change map[string]float64 `arg:"" help:"whole=N, burst=N, and part.NAME.weight=N, part.NAME.floor=N, part.NAME.ceiling=N."`
+	Change map[string]float64 `arg:"" help:"New values: whole=N, burst=N, part.NAME.weight=N, part.NAME.floor=N, part.NAME.ceiling=N."`
 }
 
-// Run puts the change to the leader as the version after the one it holds. Another change between the two
-// makes it fail: then neither is lost.
-func (w *fleetBudgetsSet) Run(r *run) error {
-	f, o, err := w.leader(r)
+// Run proposes the change to the leader as the version after its current one. It fails if another
+// change has taken that version in the meantime, so that no change is overwritten.
+func (cmd *fleetBudgetsSetCmd) Run(r *runContext) error {
+	fleet, overview, err := cmd.loadAndQueryLeader(r)
 	if err != nil {
 		return err
 	}
-	set := ledger.Set{Version: o.Version + 1}
+	set := ledger.Set{Version: overview.Version + 1}
 	found := false
-	for _, b := range o.Budgets {
-		if b.Name == w.Budget {
+	for _, budget := range overview.Budgets {
+		if budget.Name == cmd.Budget {
 			found = true
-			if b.Budget, err = changed(b.Budget, w.Change); err != nil {
+			if budget.Budget, err = withChanges(budget.Budget, cmd.Change); err != nil {
 				return err
 			}
 		}
-		set.Budgets = append(set.Budgets, b.Budget)
+		set.Budgets = append(set.Budgets, budget.Budget)
 	}
 	if !found {
-		return fmt.Errorf("no budget %q in version %d", w.Budget, o.Version)
+		return fmt.Errorf("no budget %q in version %d", cmd.Budget, overview.Version)
 	}
-	err = put(f.Voters[o.Leader], ledger.Command{Fleet: o.Fleet, Set: &set})
+	err = propose(fleet.Voters[overview.Leader], ledger.Command{Fleet: overview.Fleet, Set: &set})
 	if err != nil {
-		// A word that was lost may have been written all the same.
-		if now, again := lookAtLeader(f); again != nil || now.Version != set.Version || !sameBudgets(now, set) {
+		// The change may have been committed although the reply was lost.
+		if now, retryErr := queryLeader(fleet); retryErr != nil || now.Version != set.Version || !hasBudgets(now, set) {
 			return err
 		}
 	}
@@ -80,93 +80,95 @@
 	return nil
 }
 
-func sameBudgets(o ledger.Overview, set ledger.Set) bool {
+// hasBudgets reports whether the overview holds exactly the budgets of the set.
+func hasBudgets(overview ledger.Overview, set ledger.Set) bool {
 	var have []ledger.Budget
-	for _, b := range o.Budgets {
+	for _, b := range overview.Budgets {
 		have = append(have, b.Budget)
 	}
-	a, _ := json.Marshal(have)
-	b, _ := json.Marshal(set.Budgets)
-	return string(a) == string(b)
+	haveJSON, _ := json.Marshal(have)
+	wantJSON, _ := json.Marshal(set.Budgets)
+	return string(haveJSON) == string(wantJSON)
 }
 
-// changed is a budget with new figures.
-func changed(b ledger.Budget, change map[string]float64) (ledger.Budget, error) {
-	b.Parts = maps.Clone(b.Parts)
+// withChanges returns a copy of the budget with the new values applied.
+func withChanges(budget ledger.Budget, change map[string]float64) (ledger.Budget, error) {
+	budget.Parts = maps.Clone(budget.Parts)
 	for _, key := range slices.Sorted(maps.Keys(change)) {
-		x := change[key]
-		if x < 0 || x > float64(share.Most)/1000 || math.IsNaN(x) {
-			return b, fmt.Errorf("%s: %v is not from 0 to %d", key, x, share.Most/1000)
+		value := change[key]
+		if value < 0 || value > float64(share.Most)/1000 || math.IsNaN(value) {
+			return budget, fmt.Errorf("%s: %v is not from 0 to %d", key, value, share.Most/1000)
 		}
-		n := int64(math.Round(x * 1000))
+		milli := int64(math.Round(value * 1000))
 		field, isPart := strings.CutPrefix(key, "part.")
-		at := strings.LastIndex(field, ".")
+		dot := strings.LastIndex(field, ".")
 		switch {
 		case key == "whole":
-			b.Whole = n
+			budget.Whole = milli
 			continue
 		case key == "burst":
-			b.Burst = n
+			budget.Burst = milli
 			continue
-		case !isPart || at <= 0:
-			return b, fmt.Errorf("%s: neither whole, burst nor part.NAME.weight, .floor, .ceiling", key)
+		case !isPart || dot <= 0:
+			return budget, fmt.Errorf("%s: neither whole, burst nor part.NAME.weight, .floor, .ceiling", key)
 		}
-		name, field := field[:at], field[at+1:]
-		p := b.Parts[name]
+		name, field := field[:dot], field[dot+1:]
+		part := budget.Parts[name]
 		switch field {
 		case "weight":
-			if x != math.Trunc(x) || x < 1 {
-				return b, fmt.Errorf("%s: %v is no whole number above 0", key, x)
+			if value != math.Trunc(value) || value < 1 {
+				return budget, fmt.Errorf("%s: %v is not a whole number above 0", key, value)
 			}
-			p.Weight = int64(x)
+			part.Weight = int64(value)
 		case "floor":
-			p.Floor = n
+			part.Floor = milli
 		case "ceiling":
-			p.Ceiling = n
+			part.Ceiling = milli
 		default:
-			return b, fmt.Errorf("%s: neither weight, floor nor ceiling", key)
+			return budget, fmt.Errorf("%s: neither weight, floor nor ceiling", key)
 		}
-		if b.Parts == nil {
-			b.Parts = map[string]ledger.Part{}
+		if budget.Parts == nil {
+			budget.Parts = map[string]ledger.Part{}
 		}
-		b.Parts[name] = p
+		budget.Parts[name] = part
 	}
-	return b, nil
+	return budget, nil
 }
 
-// leader reads the fleet's file and asks who leads.
-func (w *fleetFile) leader(r *run) (*config.Fleet, ledger.Overview, error) {
-	f, err := w.load(r)
+// loadAndQueryLeader reads the fleet file and returns it with the leader's overview.
+func (f *fleetFileFlag) loadAndQueryLeader(r *runContext) (*config.Fleet, ledger.Overview, error) {
+	fleet, err := f.load(r)
 	if err != nil {
 		return nil, ledger.Overview{}, err
 	}
-	o, err := lookAtLeader(f)
-	return f, o, err
+	overview, err := queryLeader(fleet)
+	return fleet, overview, err
 }
 
-// lookAtLeader asks the voters until one that leads has answered.
-func lookAtLeader(f *config.Fleet) (ledger.Overview, error) {
+// queryLeader queries the voters in order until the leader answers.
+func queryLeader(fleet *config.Fleet) (ledger.Overview, error) {
 	var errs []error
-	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
-		o, err := look(f.Voters[name].LedgerAddr)
+	for _, name := range slices.Sorted(maps.Keys(fleet.Voters)) {
+		overview, err := queryVoter(fleet.Voters[name].LedgerAddr)
 		switch {
 		case err != nil:
 			errs = append(errs, fmt.Errorf("voter %s: %w", name, err))
-		case o.Leader == name:
-			return o, nil
+		case overview.Leader == name:
+			return overview, nil
 		}
 	}
-	return ledger.Overview{}, errors.Join(append(errs, errors.New("no voter that leads has answered"))...)
+	return ledger.Overview{}, errors.Join(append(errs, errors.New("the leader has not answered"))...)
 }
 
-func put(v config.Voter, cmd ledger.Command) error {
-	c, err := rpc.Dial(v.LedgerAddr, lookWithin)
+// propose sends a command to a voter.
+func propose(voter config.Voter, cmd ledger.Command) error {
+	conn, err := rpc.Dial(voter.LedgerAddr, voterTimeout)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = c.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*lookWithin)
+	defer func() { _ = conn.Close() }()
+	ctx, cancel := context.WithTimeout(context.Background(), 2*voterTimeout)
 	defer cancel()
-	_, err = c.Do(ctx, cmd)
+	_, err = conn.Do(ctx, cmd)
 	return err
 }
--- a/internal/cli/budgets_test.go
+++ b/internal/cli/budgets_test.go
@@ -8,19 +8,19 @@
 	"tinroute.example/tinroute/internal/fleet/ledger"
 )
 
-func TestChangedBudget(t *testing.T) {
+func TestWithChanges(t *testing.T) {
 	b := ledger.Budget{Name: "jobs", Whole: 40_000, Burst: 9000, Parts: map[string]ledger.Part{"a": {Weight: 2, Floor: 1000}}}
-	got, err := changed(b, map[string]float64{"whole": 12.5, "part.a.floor": 3, "part.b.c.weight": 4})
+	got, err := withChanges(b, map[string]float64{"whole": 12.5, "part.a.floor": 3, "part.b.c.weight": 4})
 	require.NoError(t, err)
 	require.Equal(t, ledger.Budget{Name: "jobs", Whole: 12_500, Burst: 9000,
 		Parts: map[string]ledger.Part{"a": {Weight: 2, Floor: 3000}, "b.c": {Weight: 4}}}, got)
-	require.Len(t, b.Parts, 1, "the budget in force is left alone")
+	require.Len(t, b.Parts, 1, "the original budget is unchanged")
 	for _, key := range []string{"hole", "part.weight", "part.a.colour", "part..weight"} {
-		_, err := changed(b, map[string]float64{key: 1})
+		_, err := withChanges(b, map[string]float64{key: 1})
 		require.ErrorContains(t, err, key)
 	}
 	for _, c := range []map[string]float64{{"whole": -1}, {"whole": 1e12}, {"part.a.weight": 0.5}, {"part.a.weight": 0}} {
-		_, err := changed(b, c)
+		_, err := withChanges(b, c)
 		require.Error(t, err)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the program's command line: its words, its flags, its logs and its exit codes.
+// Package cli implements the command line: its commands, flags, log output and exit codes.
 package cli
 
 import (
@@ -22,92 +22,92 @@
 	"tinroute.example/tinroute/internal/daemon"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitOK            = 0
-	ExitFailed        = 1 // it could not serve, or ended by an error
-	ExitUsage         = 2 // the command line makes no sense
-	ExitInvalidConfig = 3 // check has found a fault
+	ExitFailed        = 1 // the command failed
+	ExitUsage         = 2 // the command line is invalid
+	ExitInvalidConfig = 3 // check has found an error in a settings file
 )
 
-// Env is what a run meets of the world.
+// Env is the environment that a command runs in.
 type Env struct {
 	Args   []string // without the program's name
 	Getenv func(string) string
 	Out    io.Writer
 	Err    io.Writer
-	// Terminal tells that Err is one: logs are coloured there.
+	// IsTerminal is whether Err is a terminal, where logs are colored and progress is shown in place.
 	IsTerminal bool
 }
 
-// FileFlags are the settings files that most words take.
+// FileFlags are the flags that name the optional settings files.
 type FileFlags struct {
-	Gearman   string `help:"Serve Gearman clients too, as this file says." placeholder:"FILE"`
-	Telemetry string `help:"Export telemetry as this file says, beside the OTEL_ variables." placeholder:"FILE"`
-	Fleet     string `help:"Belong to a fleet of dispatchers, with budgets of its own, as this file says." placeholder:"FILE"`
+	Gearman   string `help:"Also serve Gearman clients, as configured by this file." placeholder:"FILE"`
+	Telemetry string `help:"Export telemetry as configured by this file; OTEL_ variables override it." placeholder:"FILE"`
+	Fleet     string `help:"Join the fleet of dispatchers, with shared budgets, that this file configures." placeholder:"FILE"`
 }
 
-// LogFlags are how the log is written.
+// LogFlags are the flags for the log output.
 type LogFlags struct {
-	LogFormat string     `help:"How log lines look: ${enum}. auto is tint on a terminal, else text." enum:"auto,text,json,tint" default:"auto"`
-	LogLevel  slog.Level `help:"The least level that is logged: debug, info, warn or error." default:"info"`
+	LogFormat string     `help:"Log format: ${enum}. auto is tint on a terminal, otherwise text." enum:"auto,text,json,tint" default:"auto"`
+	LogLevel  slog.Level `help:"Minimum level to log: debug, info, warn or error." default:"info"`
 }
 
-type grammar struct {
+type commandLine struct {
 	LogFlags
-	Serve      serve                        `cmd:"" default:"withargs" help:"Serve, as the file that LB_CONFIG names says. It is what is done without a word."`
-	Check      check                        `cmd:"" help:"Read every settings file, and explain what it comes to."`
-	Emulate    emulateWord                  `cmd:"" help:"Play a shop of emulated nodes, dispatchers and clients in virtual time."`
-	Fleet      fleetWord                    `cmd:"" help:"Look at a fleet of dispatchers."`
-	Load       loadWord                     `cmd:"" help:"Make load on a dispatcher as its clients would, and measure the answers."`
-	Experiment experimentWord               `cmd:"" help:"Play days x policies x seeds in virtual time, and sum up each with its spread."`
-	Version    version                      `cmd:"" help:"Tell the version."`
-	Completion kongplete.InstallCompletions `cmd:"" help:"Tell how a shell completes this program's words."`
+	Serve      serveCmd                     `cmd:"" default:"withargs" help:"Run the dispatcher with the settings file named by LB_CONFIG. This is the default command."`
+	Check      checkCmd                     `cmd:"" help:"Validate all settings files and explain the resulting settings."`
+	Emulate    emulateCmd                   `cmd:"" help:"Emulate nodes, dispatchers and clients in virtual time."`
+	Fleet      fleetCmd                     `cmd:"" help:"Inspect and test a fleet of dispatchers."`
+	Load       loadCmd                      `cmd:"" help:"Generate load on a dispatcher as its clients would, and measure the answers."`
+	Experiment experimentCmd                `cmd:"" help:"Emulate all combinations of days, policies and seeds in virtual time, and summarize each with its confidence interval."`
+	Version    versionCmd                   `cmd:"" help:"Print the version."`
+	Completion kongplete.InstallCompletions `cmd:"" help:"Print instructions for installing shell completion."`
 }
 
-// run is what a word needs.
-type run struct {
+// runContext is passed to the Run method of each command.
+type runContext struct {
 	Env
 	log *slog.Logger
 }
 
 // Main runs the program and returns its exit code.
-func Main(e Env) int {
-	var g grammar
+func Main(env Env) int {
+	var cl commandLine
 	code := -1
-	k, err := kong.New(&g, kong.Name("tinroute"), kong.Description("A dispatcher daemon: it takes jobs from clients and decides which worker runs which, and when."),
-		kong.Writers(e.Out, e.Err), kong.UsageOnError(), kong.Exit(func(c int) { code = c }))
+	parser, err := kong.New(&cl, kong.Name("tinroute"), kong.Description("A dispatcher daemon: it accepts requests from clients and decides which worker runs each of them, and when."),
+		kong.Writers(env.Out, env.Err), kong.UsageOnError(), kong.Exit(func(exitCode int) { code = exitCode }))
 	if err != nil {
-		fmt.Fprintln(e.Err, err)
+		fmt.Fprintln(env.Err, err)
 		return ExitUsage
 	}
-	kongplete.Complete(k)
-	c, err := k.Parse(doubled(e.Args))
-	if code >= 0 { // help was asked for
+	kongplete.Complete(parser)
+	command, err := parser.Parse(normalizeFlags(env.Args))
+	if code >= 0 { // kong has printed the help
 		return code
 	}
 	if err != nil {
-		fmt.Fprintf(e.Err, "tinroute: %v\nsee tinroute --help\n", err)
+		fmt.Fprintf(env.Err, "tinroute: %v\nsee tinroute --help\n", err)
 		return ExitUsage
 	}
-	r := &run{e, slog.New(handler(e, g.LogFlags))}
-	if err := c.Run(r); err != nil {
-		faulty := (*faultError)(nil)
-		if errors.As(err, &faulty) {
+	run := &runContext{env, slog.New(newLogHandler(env, cl.LogFlags))}
+	if err := command.Run(run); err != nil {
+		reported := (*reportedError)(nil)
+		if errors.As(err, &reported) {
 			return ExitInvalidConfig
 		}
-		if strings.HasPrefix(c.Command(), "serve") {
-			r.log.Error("cannot serve", "err", err)
+		if strings.HasPrefix(command.Command(), "serve") {
+			run.log.Error("cannot serve", "err", err)
 		} else {
-			fmt.Fprintf(e.Err, "tinroute: %v\n", err)
+			fmt.Fprintf(env.Err, "tinroute: %v\n", err)
 		}
 		return ExitFailed
 	}
 	return ExitOK
 }
 
-// doubled takes up flags with one dash, which earlier versions had.
-func doubled(args []string) []string {
+// normalizeFlags turns flags with a single dash, which earlier versions had, into flags with two.
+func normalizeFlags(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if len(a) > 2 && a[0] == '-' && a[1] != '-' {
@@ -118,21 +118,22 @@
 	return out
 }
 
-func handler(e Env, l LogFlags) slog.Handler {
-	format := l.LogFormat
-	if format == "auto" && e.IsTerminal {
+// newLogHandler returns the log handler that the flags ask for.
+func newLogHandler(env Env, flags LogFlags) slog.Handler {
+	format := flags.LogFormat
+	if format == "auto" && env.IsTerminal {
 		format = "tint"
 	}
 	switch format {
 	case "json":
-		return slog.NewJSONHandler(e.Err, &slog.HandlerOptions{Level: l.LogLevel})
+		return slog.NewJSONHandler(env.Err, &slog.HandlerOptions{Level: flags.LogLevel})
 	case "tint":
-		return tint.NewTextHandler(e.Err, &tint.Options{Level: l.LogLevel, TimeFormat: time.TimeOnly, NoColor: !e.IsTerminal})
+		return tint.NewTextHandler(env.Err, &tint.Options{Level: flags.LogLevel, TimeFormat: time.TimeOnly, NoColor: !env.IsTerminal})
 	}
-	return slog.NewTextHandler(e.Err, &slog.HandlerOptions{Level: l.LogLevel})
+	return slog.NewTextHandler(env.Err, &slog.HandlerOptions{Level: flags.LogLevel})
 }
 
-// settings reads every file.
+// settings are the contents of all settings files.
 type settings struct {
 	config    *config.Config
 	gearman   *config.Gearman
@@ -140,6 +141,7 @@
 	fleet     *config.Fleet
 }
 
+// read reads all settings files, the main one with load.
 func (f FileFlags) read(getenv func(string) string, load func(func(string) string) (*config.Config, error)) (s settings, err error) {
 	if s.config, err = load(getenv); err != nil {
 		return s, err
@@ -158,108 +160,109 @@
 	return s, err
 }
 
-type serve struct{ FileFlags }
+type serveCmd struct{ FileFlags }
 
-// Run serves until SIGTERM or SIGINT; SIGHUP has the files read again.
-func (w *serve) Run(r *run) error {
-	// Signals first: one that came while the files are read would end the process by its default.
+// Run serves until SIGTERM or SIGINT. SIGHUP reloads the settings files.
+func (cmd *serveCmd) Run(r *runContext) error {
+	// Signals are handled before the files are read, since the default action of each ends the process.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hangup := make(chan os.Signal, 1) // one that waits stands for any that follow
-	signal.Notify(hangup, syscall.SIGHUP)
-	s, err := w.read(r.Getenv, config.Load)
+	reloadSignals := make(chan os.Signal, 1) // a pending signal covers those that follow
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	settings, err := cmd.read(r.Getenv, config.Load)
 	if err != nil {
 		return err
 	}
-	d := &daemon.Daemon{Config: s.config, Gearman: s.gearman, Telemetry: s.telemetry, Fleet: s.fleet, Log: r.log, ReloadSignals: hangup,
+	d := &daemon.Daemon{Config: settings.config, Gearman: settings.gearman, Telemetry: settings.telemetry, Fleet: settings.fleet, Log: r.log, ReloadSignals: reloadSignals,
 		ReadFiles: func() (daemon.Files, error) {
-			s, err := w.read(r.Getenv, config.Reload)
-			return daemon.Files{Config: s.config, Gearman: s.gearman, Fleet: s.fleet}, err
+			settings, err := cmd.read(r.Getenv, config.Reload)
+			return daemon.Files{Config: settings.config, Gearman: settings.gearman, Fleet: settings.fleet}, err
 		}}
 	return d.Run(ctx)
 }
 
-// faultError has been told to the user already.
-type faultError struct{ error }
+// reportedError is an error in the settings files that has been printed already.
+type reportedError struct{ error }
 
-type check struct{ FileFlags }
+type checkCmd struct{ FileFlags }
 
-// Run reads what serve would, and explains it.
-func (w *check) Run(r *run) error {
-	s, err := w.read(r.Getenv, config.Load)
+// Run reads the settings files as serve does and explains them.
+func (cmd *checkCmd) Run(r *runContext) error {
+	settings, err := cmd.read(r.Getenv, config.Load)
 	if err != nil {
 		fmt.Fprintln(r.Out, "faulty:", err)
-		return &faultError{err}
+		return &reportedError{err}
 	}
-	explain(r.Out, s)
+	explain(r.Out, settings)
 	return nil
 }
 
-func explain(out io.Writer, s settings) {
-	p := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
-	c := s.config
-	p("%s listens at %s and asks discovery at %s", c.Name, c.Listen, c.Discovery)
-	if c.AdminListen != "" {
-		p("the operators' door is at %s; workers out by hand pass to a successor through %s", c.AdminListen, os.TempDir())
+// explain prints a summary of the settings.
+func explain(out io.Writer, settings settings) {
+	printf := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
+	cfg := settings.config
+	printf("%s listens at %s and asks discovery at %s", cfg.Name, cfg.Listen, cfg.Discovery)
+	if cfg.AdminListen != "" {
+		printf("the operators' door is at %s; workers out by hand pass to a successor through %s", cfg.AdminListen, os.TempDir())
 	} else {
-		p("no operators' door: ops and $LB_OPS are unset")
+		printf("no operators' door: ops and $LB_OPS are unset")
 	}
-	p("limits: %g cores, %d MB, %d descriptors; %d open requests", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets, c.Settings.MaxOpenJobs)
-	p("at most %d attempts at a request, a region is connected to within %v", c.Settings.MaxAttempts, c.Settings.ConnectTimeout)
-	for _, k := range c.Settings.Classes {
-		p("class %s: wanted within %v and %g times its running time, given up after %v, %s", k.Name, k.Target, k.Stretch, k.Deadline, repeats(k.Idempotency, k.DedupScope, k.DedupWindow))
+	printf("limits: %g cores, %d MB, %d descriptors; %d open requests", cfg.Limits.Cores, cfg.Limits.MemoryMB, cfg.Limits.Sockets, cfg.Settings.MaxOpenJobs)
+	printf("at most %d attempts at a request, a region is connected to within %v", cfg.Settings.MaxAttempts, cfg.Settings.ConnectTimeout)
+	for _, class := range cfg.Settings.Classes {
+		printf("class %s: wanted within %v and %g times its running time, given up after %v, %s", class.Name, class.Target, class.Stretch, class.Deadline, repeatRule(class.Idempotency, class.DedupScope, class.DedupWindow))
 	}
-	for _, t := range c.Settings.Tenants {
-		p("tenant %s: %g requests a second", t.Name, t.Quota)
+	for _, tenant := range cfg.Settings.Tenants {
+		printf("tenant %s: %g requests a second", tenant.Name, tenant.Quota)
 	}
-	if len(c.Hooks) > 0 {
-		p("scripts: %s", strings.Join(c.Hooks, ", "))
+	if len(cfg.Hooks) > 0 {
+		printf("scripts: %s", strings.Join(cfg.Hooks, ", "))
 	}
-	if g := s.gearman; g != nil {
-		p("Gearman: listens at %s, asks discovery at %s", g.Listen, g.Discovery)
-		if g.Store == nil {
-			p("  background jobs are off: no [store] is named")
+	if gearman := settings.gearman; gearman != nil {
+		printf("Gearman: listens at %s, asks discovery at %s", gearman.Listen, gearman.Discovery)
+		if gearman.Store == nil {
+			printf("  background jobs are off: no [store] is named")
 		} else {
-			p("  background jobs are kept in %s: %d at most, %d MB of data, %d offers each, dead after %v", g.Store.Path, g.Store.MaxJobs, g.Store.MaxBytes>>20,
-				g.Retry.MaxOffers, g.Retry.Expiry)
-			p("  offered at most %g a second, %d at once", g.Pace.Rate, g.Pace.MaxWindow)
+			printf("  background jobs are kept in %s: %d at most, %d MB of data, %d offers each, dead after %v", gearman.Store.Path, gearman.Store.MaxJobs, gearman.Store.MaxBytes>>20,
+				gearman.Retry.MaxOffers, gearman.Retry.Expiry)
+			printf("  offered at most %g a second, %d at once", gearman.Pace.Rate, gearman.Pace.MaxWindow)
 		}
 	} else {
-		p("Gearman: off")
+		printf("Gearman: off")
 	}
-	if f := s.fleet; f != nil {
-		votes := "is a member"
-		if f.VoterDir != "" {
-			votes = "votes, with its log in " + f.VoterDir
+	if fleet := settings.fleet; fleet != nil {
+		role := "is a member"
+		if fleet.VoterDir != "" {
+			role = "votes, with its log in " + fleet.VoterDir
 		}
-		p("fleet %s: %s %s; %d voters, leases of %v", f.Ledger.Fleet, c.Name, votes, len(f.Voters), f.Terms.Lease)
-		for _, b := range f.Budgets {
-			p("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, f.BudgetVersion, float64(b.Whole)/1000, float64(b.Burst)/1000)
+		printf("fleet %s: %s %s; %d voters, leases of %v", fleet.Ledger.Fleet, cfg.Name, role, len(fleet.Voters), fleet.Terms.Lease)
+		for _, b := range fleet.Budgets {
+			printf("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, fleet.BudgetVersion, float64(b.Whole)/1000, float64(b.Burst)/1000)
 		}
 	} else {
-		p("fleet: off")
+		printf("fleet: off")
 	}
-	if t := s.telemetry; t != nil {
-		for signal, e := range t.Endpoints {
+	if telemetry := settings.telemetry; telemetry != nil {
+		for signal, endpoint := range telemetry.Endpoints {
 			protocol := "HTTP"
-			if e.GRPC {
+			if endpoint.GRPC {
 				protocol = "gRPC"
 			}
-			p("telemetry: %s go to %s over %s, within %v", signal, e.URL, protocol, e.Timeout)
+			printf("telemetry: %s go to %s over %s, within %v", signal, endpoint.URL, protocol, endpoint.Timeout)
 		}
-		p("  %d KB of memory at most, %g ordinary requests kept a second", t.Sampling.Bytes>>10, t.Sampling.Rate)
-		if t.SpoolDir != "" {
-			p("  what is not taken waits in %s, %d MB at most", t.SpoolDir, t.SpoolMaxBytes>>20)
+		printf("  %d KB of memory at most, %g ordinary requests kept a second", telemetry.Sampling.Bytes>>10, telemetry.Sampling.Rate)
+		if telemetry.SpoolDir != "" {
+			printf("  what is not taken waits in %s, %d MB at most", telemetry.SpoolDir, telemetry.SpoolMaxBytes>>20)
 		}
 	} else {
-		p("telemetry: off")
+		printf("telemetry: off")
 	}
 }
 
-type version struct{}
+type versionCmd struct{}
 
-// Run tells what was built.
-func (version) Run(r *run) error {
+// Run prints the revision and the Go version of the build.
+func (versionCmd) Run(r *runContext) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		_, err := fmt.Fprintln(r.Out, "tinroute, of unknown make")
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -22,115 +22,115 @@
 	"tinroute.example/tinroute/internal/lab/experiment"
 )
 
-type experimentWord struct {
-	Days        []string      `help:"Days to play: calm, slow, vanish, heavy-tail, restart; all where empty." sep:","`
-	Policies    []string      `help:"Policies: tinroute and random, round-robin, least-outstanding, two-choices, shortest-queue; all where empty." sep:","`
-	Seeds       int           `default:"5" help:"Seeds of each day and policy."`
-	Nodes       int           `default:"10" help:"How many nodes."`
-	Dispatchers int           `default:"3" help:"How many dispatchers."`
-	Load        float64       `default:"0.7" help:"Share of what the nodes can do that is asked for."`
-	Length      time.Duration `default:"1m" help:"Of each day's arrivals, in virtual time."`
-	Bound       time.Duration `default:"1m" help:"Virtual time after the arrivals within which a play must end, else it counts as jammed."`
-	Workers     int           `help:"Plays at once; the processors' count where 0."`
-	Out         string        `default:"results.jsonl" help:"Outcomes, a JSON line each; what it holds already is not played again." placeholder:"FILE"`
-	CSV         string        `help:"Write the summary as CSV too." placeholder:"FILE"`
+type experimentCmd struct {
+	Days        []string      `help:"Days (workloads) to run: calm, slow, vanish, heavy-tail, restart; all if empty." sep:","`
+	Policies    []string      `help:"Policies: tinroute and random, round-robin, least-outstanding, two-choices, shortest-queue; all if empty." sep:","`
+	Seeds       int           `default:"5" help:"Number of seeds for each day and policy."`
+	Nodes       int           `default:"10" help:"Number of nodes."`
+	Dispatchers int           `default:"3" help:"Number of dispatchers."`
+	Load        float64       `default:"0.7" help:"Offered load as a share of the nodes' capacity."`
+	Length      time.Duration `default:"1m" help:"Virtual time during which requests arrive, for each day."`
+	Bound       time.Duration `default:"1m" help:"Virtual time after the arrivals within which a run must end; otherwise it counts as jammed."`
+	Workers     int           `help:"Runs in parallel; the number of processors if 0."`
+	Out         string        `default:"results.jsonl" help:"File for the results, one JSON line each; runs that it already holds are skipped." placeholder:"FILE"`
+	CSV         string        `help:"Also write the summary as CSV." placeholder:"FILE"`
 }
 
-var errOwnBroken = errors.New("tinroute's policy broke a rule")
+var errOwnPolicyViolation = errors.New("tinroute's own policy violated a rule")
 
-// Run plays what of the matrix is not in the file yet, appends each outcome as it comes, and sums
-// the whole file's matrix up. It fails where tinroute's own policy broke a rule; the comparison
-// policies' breaks are findings, told in the summary.
+// Run runs the combinations of day, policy and seed that are not in the results file yet, appends
+// each result as it comes, and prints a summary of all of them. It fails if tinroute's own policy
+// violated a rule; violations by the comparison policies are only counted in the summary.
 //
-//revive:disable-next-line:function-length one command's flags, play and tables
-func (e *experimentWord) Run(r *run) error {
-	plan := experiment.Plan{Seeds: e.Seeds, Nodes: e.Nodes, Dispatchers: e.Dispatchers, Load: e.Load,
-		Length: e.Length, Bound: e.Bound, Workers: cmp.Or(max(0, e.Workers), runtime.NumCPU())}
+//revive:disable-next-line:function-length handles one command's flags, runs and tables in sequence
+func (cmd *experimentCmd) Run(r *runContext) error {
+	plan := experiment.Plan{Seeds: cmd.Seeds, Nodes: cmd.Nodes, Dispatchers: cmd.Dispatchers, Load: cmd.Load,
+		Length: cmd.Length, Bound: cmd.Bound, Workers: cmp.Or(max(0, cmd.Workers), runtime.NumCPU())}
 	for _, d := range experiment.Days {
-		if len(e.Days) == 0 || slices.Contains(e.Days, d.Name) {
+		if len(cmd.Days) == 0 || slices.Contains(cmd.Days, d.Name) {
 			plan.Days = append(plan.Days, d)
 		}
 	}
-	if len(plan.Days) < max(1, len(e.Days)) {
-		return fmt.Errorf("--days %v: of calm, slow, vanish, heavy-tail, restart", e.Days)
+	if len(plan.Days) < max(1, len(cmd.Days)) {
+		return fmt.Errorf("--days %v: only calm, slow, vanish, heavy-tail and restart are known", cmd.Days)
 	}
-	plan.Policies = e.Policies
+	plan.Policies = cmd.Policies
 	if len(plan.Policies) == 0 {
 		plan.Policies = append([]string{experiment.Own}, compare.Names...)
 	}
-	had, err := readOutcomes(e.Out)
+	outcomes, err := readOutcomes(cmd.Out)
 	if err != nil {
 		return err
 	}
 	done := map[experiment.Cell]bool{}
-	for _, o := range had {
-		done[o.Cell] = true
+	for _, outcome := range outcomes {
+		done[outcome.Cell] = true
 	}
-	f, err := os.OpenFile(e.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(cmd.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer file.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	all, left := plan.Cells(), 0
-	for _, c := range all {
-		if !done[c] {
-			left++
+	cells, remaining := plan.Cells(), 0
+	for _, cell := range cells {
+		if !done[cell] {
+			remaining++
 		}
 	}
-	fmt.Fprintf(r.Err, "%d plays, %d of them done before\n", len(all), len(all)-left)
-	began, n := time.Now(), 0
-	var werr error
-	err = experiment.Run(ctx, plan, done, func(o experiment.Outcome) {
-		line, _ := json.Marshal(o)
-		if _, e := f.Write(append(line, '\n')); e != nil && werr == nil {
-			werr = e
+	fmt.Fprintf(r.Err, "%d plays, %d of them done before\n", len(cells), len(cells)-remaining)
+	began, finished := time.Now(), 0
+	var writeErr error
+	err = experiment.Run(ctx, plan, done, func(outcome experiment.Outcome) {
+		line, _ := json.Marshal(outcome)
+		if _, e := file.Write(append(line, '\n')); e != nil && writeErr == nil {
+			writeErr = e
 		}
-		had = append(had, o)
-		n++
+		outcomes = append(outcomes, outcome)
+		finished++
 		if r.IsTerminal {
-			fmt.Fprintf(r.Err, "\r%d of %d played, %v", n, left, time.Since(began).Round(time.Second))
+			fmt.Fprintf(r.Err, "\r%d of %d played, %v", finished, remaining, time.Since(began).Round(time.Second))
 		}
 	})
 	if r.IsTerminal {
 		fmt.Fprintln(r.Err)
 	}
-	if err = errors.Join(err, werr); err != nil {
+	if err = errors.Join(err, writeErr); err != nil {
 		return err
 	}
 	if ctx.Err() != nil {
-		return fmt.Errorf("stopped after %d of %d plays; the same words go on from there", n, left)
+		return fmt.Errorf("stopped after %d of %d runs; repeat the same command to continue", finished, remaining)
 	}
-	at := map[experiment.Cell]int{} // the plan's order, not the order in which plays ended
-	for i, c := range all {
-		at[c] = i + 1
+	order := map[experiment.Cell]int{} // position in the plan, as the results come in the order in which runs ended
+	for i, cell := range cells {
+		order[cell] = i + 1
 	}
-	var mine []experiment.Outcome
-	for _, o := range had {
-		if at[o.Cell] > 0 {
-			mine = append(mine, o)
+	var planned []experiment.Outcome
+	for _, outcome := range outcomes {
+		if order[outcome.Cell] > 0 {
+			planned = append(planned, outcome)
 		}
 	}
-	slices.SortStableFunc(mine, func(a, b experiment.Outcome) int { return at[a.Cell] - at[b.Cell] })
-	sums := experiment.Summarize(mine)
-	table(r.Out, sums)
-	if e.CSV != "" {
-		if err := writeCSV(e.CSV, sums); err != nil {
+	slices.SortStableFunc(planned, func(a, b experiment.Outcome) int { return order[a.Cell] - order[b.Cell] })
+	summaries := experiment.Summarize(planned)
+	printTable(r.Out, summaries)
+	if cmd.CSV != "" {
+		if err := writeCSV(cmd.CSV, summaries); err != nil {
 			return err
 		}
 	}
-	for _, s := range sums {
+	for _, s := range summaries {
 		if s.Policy == experiment.Own && s.Broken > 0 {
-			return errOwnBroken
+			return errOwnPolicyViolation
 		}
 	}
 	return nil
 }
 
-// readOutcomes reads a file of outcomes; one that is not there holds none. A last line cut short,
-// as a kill in the midst of a write leaves it, is left out and the file cut back to the lines that
-// are whole, so that what comes next is appended to them; a spoilt line before the last is named.
+// readOutcomes reads a results file; a file that does not exist holds none. A truncated last line,
+// as a process killed during a write leaves it, is ignored and cut off the file, so that the next
+// result is appended after a complete line. An invalid line before the last is an error.
 func readOutcomes(path string) ([]experiment.Outcome, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -139,59 +139,60 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []experiment.Outcome
-	whole := 0 // bytes of whole lines
+	var outcomes []experiment.Outcome
+	completeBytes := 0 // bytes of the complete lines
 	rest := data
 	for line := 1; len(rest) > 0; line++ {
-		text, after, ended := bytes.Cut(rest, []byte("\n"))
-		var o experiment.Outcome
-		if err := json.Unmarshal(text, &o); err != nil {
-			if len(bytes.TrimSpace(text)) == 0 && ended {
-				whole += len(text) + 1
+		text, after, hasNewline := bytes.Cut(rest, []byte("\n"))
+		var outcome experiment.Outcome
+		if err := json.Unmarshal(text, &outcome); err != nil {
+			if len(bytes.TrimSpace(text)) == 0 && hasNewline {
+				completeBytes += len(text) + 1
 				rest = after
 				continue
 			}
-			if len(bytes.TrimSpace(after)) == 0 { // the last: cut short
-				return out, os.Truncate(path, int64(whole))
+			if len(bytes.TrimSpace(after)) == 0 { // truncated last line
+				return outcomes, os.Truncate(path, int64(completeBytes))
 			}
-			return out, fmt.Errorf("%s:%d: %w", path, line, err)
+			return outcomes, fmt.Errorf("%s:%d: %w", path, line, err)
 		}
-		if !ended { // whole as JSON, but its line was not ended: the next would be appended to it
-			return out, os.Truncate(path, int64(whole))
+		if !hasNewline { // valid JSON without a newline: the next result would be appended to the same line
+			return outcomes, os.Truncate(path, int64(completeBytes))
 		}
-		out = append(out, o)
-		whole += len(text) + 1
+		outcomes = append(outcomes, outcome)
+		completeBytes += len(text) + 1
 		rest = after
 	}
-	return out, nil
+	return outcomes, nil
 }
 
-func table(w io.Writer, sums []experiment.Summary) {
+// printTable prints the summaries as a table.
+func printTable(w io.Writer, summaries []experiment.Summary) {
 	fmt.Fprintf(w, "%-11s %-18s %5s %15s %8s %8s %6s %7s %7s\n", "day", "policy", "plays", "worth (95%)", "p50 ms",
 		"p99 ms", "sends", "broken", "jammed")
-	for _, s := range sums {
-		ci := "±" + strconv.FormatFloat(s.WorthCI, 'f', 3, 64)
+	for _, s := range summaries {
+		interval := "±" + strconv.FormatFloat(s.WorthCI, 'f', 3, 64)
 		if math.IsNaN(s.WorthCI) {
-			ci = ""
+			interval = ""
 		}
-		fmt.Fprintf(w, "%-11s %-18s %5d %8.3f %-6s %8.0f %8.0f %6.2f %7d %7d\n", s.Day, s.Policy, s.Plays, s.Worth, ci,
+		fmt.Fprintf(w, "%-11s %-18s %5d %8.3f %-6s %8.0f %8.0f %6.2f %7d %7d\n", s.Day, s.Policy, s.Plays, s.Worth, interval,
 			s.P50, s.P99, s.SendsPerRequest, s.Broken, s.Jammed)
 	}
 }
 
-func writeCSV(path string, sums []experiment.Summary) error {
+func writeCSV(path string, summaries []experiment.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	c := csv.NewWriter(f)
-	_ = c.Write([]string{"day", "policy", "plays", "worth", "worth_ci95", "p50_ms", "p99_ms", "sends_per_request",
+	w := csv.NewWriter(f)
+	_ = w.Write([]string{"day", "policy", "plays", "worth", "worth_ci95", "p50_ms", "p99_ms", "sends_per_request",
 		"plays_broken", "plays_jammed"})
-	for _, s := range sums {
-		g := func(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
-		_ = c.Write([]string{s.Day, s.Policy, strconv.Itoa(s.Plays), g(s.Worth), g(s.WorthCI), g(s.P50), g(s.P99),
-			g(s.SendsPerRequest), strconv.Itoa(s.Broken), strconv.Itoa(s.Jammed)})
+	for _, s := range summaries {
+		format := func(value float64) string { return strconv.FormatFloat(value, 'f', 4, 64) }
+		_ = w.Write([]string{s.Day, s.Policy, strconv.Itoa(s.Plays), format(s.Worth), format(s.WorthCI), format(s.P50), format(s.P99),
+			format(s.SendsPerRequest), strconv.Itoa(s.Broken), strconv.Itoa(s.Jammed)})
 	}
-	c.Flush()
-	return errors.Join(c.Error(), f.Close())
+	w.Flush()
+	return errors.Join(w.Error(), f.Close())
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -7,13 +7,13 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// repeats words what a class allows after a routed task that may have run.
-func repeats(e balance.Idempotency, g balance.DedupScope, span time.Duration) string {
-	switch e {
+// repeatRule describes whether a class allows another attempt after one that may have run.
+func repeatRule(idempotency balance.Idempotency, scope balance.DedupScope, window time.Duration) string {
+	switch idempotency {
 	case balance.Idempotent:
 		return "safe to repeat"
 	case balance.NonIdempotent:
 		return "never repeated once it may have run"
 	}
-	return fmt.Sprintf("repeated within %v, %s", span, [...]string{"anywhere", "in the same zone", "in the same cell"}[g])
+	return fmt.Sprintf("repeated within %v, %s", window, [...]string{"anywhere", "in the same zone", "in the same cell"}[scope])
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -25,73 +25,74 @@
 	"tinroute.example/tinroute/internal/lab/rig"
 )
 
-// lookWithin bounds how long one voter is waited for.
-const lookWithin = time.Second
+// voterTimeout is the timeout for the answer of one voter.
+const voterTimeout = time.Second
 
-type fleetWord struct {
-	Status   fleetStatus   `cmd:"" help:"Tell who leads, and each budget with its holders, as each voter knows it."`
-	Budgets  fleetBudgets  `cmd:"" help:"Tell the budgets, or change them."`
-	Rehearse fleetRehearse `cmd:"" help:"Start fleets of this program on loopback, put faults between the processes, and judge what reached the nodes."`
+type fleetCmd struct {
+	Status   fleetStatusCmd   `cmd:"" help:"Show the leader and each budget with its holders, as each voter knows them."`
+	Budgets  fleetBudgetsCmd  `cmd:"" help:"Show or change the budgets."`
+	Rehearse fleetRehearseCmd `cmd:"" help:"Run fleets of this program on the loopback interface, inject faults between the processes, and check what reached the nodes."`
 }
 
-type fleetFile struct {
-	Fleet string `help:"The fleet's file, as serve takes it." placeholder:"FILE" required:""`
+type fleetFileFlag struct {
+	Fleet string `help:"The fleet file, the same as for serve." placeholder:"FILE" required:""`
 }
 
-func (w *fleetFile) load(r *run) (*config.Fleet, error) {
-	c, err := config.Load(r.Getenv)
+func (f *fleetFileFlag) load(r *runContext) (*config.Fleet, error) {
+	cfg, err := config.Load(r.Getenv)
 	if err != nil {
 		return nil, err
 	}
-	return config.LoadFleet(w.Fleet, c.Name, c.Settings, c.Names)
+	return config.LoadFleet(f.Fleet, cfg.Name, cfg.Settings, cfg.Names)
 }
 
-type fleetStatus struct {
-	fleetFile
-	JSON bool `help:"Tell it as JSON." name:"json"`
+type fleetStatusCmd struct {
+	fleetFileFlag
+	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run asks every voter that the file names, and tells the newest state met.
-func (w *fleetStatus) Run(r *run) error {
-	f, err := w.load(r)
+// Run queries every voter in the fleet file and prints the leader's state, or another voter's if the
+// leader has not answered.
+func (cmd *fleetStatusCmd) Run(r *runContext) error {
+	fleet, err := cmd.load(r)
 	if err != nil {
 		return err
 	}
-	type seen struct {
+	type voterStatus struct {
 		Voter string           `json:"voter"`
 		Err   string           `json:"err,omitempty"`
 		State *ledger.Overview `json:"state,omitempty"`
 	}
-	var all []seen
+	var statuses []voterStatus
 	var best *ledger.Overview // the leader's, else any
-	for _, name := range slices.Sorted(maps.Keys(f.Voters)) {
-		s := seen{Voter: name}
-		if o, err := look(f.Voters[name].LedgerAddr); err != nil {
-			s.Err = err.Error()
+	for _, name := range slices.Sorted(maps.Keys(fleet.Voters)) {
+		status := voterStatus{Voter: name}
+		if overview, err := queryVoter(fleet.Voters[name].LedgerAddr); err != nil {
+			status.Err = err.Error()
 		} else {
-			s.State = &o
-			if best == nil || o.Leader == name {
-				best = s.State
+			status.State = &overview
+			if best == nil || overview.Leader == name {
+				best = status.State
 			}
 		}
-		all = append(all, s)
+		statuses = append(statuses, status)
 	}
-	if w.JSON {
+	if cmd.JSON {
 		enc := json.NewEncoder(r.Out)
 		enc.SetIndent("", "  ")
-		if err := enc.Encode(all); err != nil {
+		if err := enc.Encode(statuses); err != nil {
 			return err
 		}
 	} else {
-		for _, s := range all {
-			if s.Err != "" {
-				fmt.Fprintf(r.Out, "voter %s: no answer: %s\n", s.Voter, s.Err)
+		for _, status := range statuses {
+			if status.Err != "" {
+				fmt.Fprintf(r.Out, "voter %s: no answer: %s\n", status.Voter, status.Err)
 			} else {
-				fmt.Fprintf(r.Out, "voter %s: budgets of version %d, led by %q\n", s.Voter, s.State.Version, s.State.Leader)
+				fmt.Fprintf(r.Out, "voter %s: budgets of version %d, led by %q\n", status.Voter, status.State.Version, status.State.Leader)
 			}
 		}
 		if best != nil {
-			tell(r.Out, *best)
+			printBudgets(r.Out, *best)
 		}
 	}
 	if best == nil {
@@ -100,70 +101,73 @@
 	return nil
 }
 
-func look(addr string) (ledger.Overview, error) {
-	c, err := rpc.Dial(addr, lookWithin)
+// queryVoter queries the overview of one voter.
+func queryVoter(addr string) (ledger.Overview, error) {
+	conn, err := rpc.Dial(addr, voterTimeout)
 	if err != nil {
 		return ledger.Overview{}, err
 	}
-	defer func() { _ = c.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), lookWithin)
+	defer func() { _ = conn.Close() }()
+	ctx, cancel := context.WithTimeout(context.Background(), voterTimeout)
 	defer cancel()
-	return c.Look(ctx)
+	return conn.Look(ctx)
 }
 
-func tell(out io.Writer, o ledger.Overview) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "budget\tholder\tincarnation\tgranted\tdemand\t")
-	for _, b := range o.Budgets {
-		fmt.Fprintf(w, "%s\t\t\t%g of %g\t\t\n", b.Name, float64(b.Granted)/1000, float64(b.Whole)/1000)
-		for _, h := range b.Holders {
+// printBudgets prints the budgets and their holders as a table.
+func printBudgets(out io.Writer, overview ledger.Overview) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "budget\tholder\tincarnation\tgranted\tdemand\t")
+	for _, budget := range overview.Budgets {
+		fmt.Fprintf(table, "%s\t\t\t%g of %g\t\t\n", budget.Name, float64(budget.Granted)/1000, float64(budget.Whole)/1000)
+		for _, holder := range budget.Holders {
 			lapsed := ""
-			if h.Lapsed {
+			if holder.Lapsed {
 				lapsed = "lapsed"
 			}
-			fmt.Fprintf(w, "\t%s\t%d\t%g\t%g\t%s\n", h.Name, h.Incarnation, float64(h.Granted)/1000, float64(h.Demand)/1000, lapsed)
+			fmt.Fprintf(table, "\t%s\t%d\t%g\t%g\t%s\n", holder.Name, holder.Incarnation, float64(holder.Granted)/1000, float64(holder.Demand)/1000, lapsed)
 		}
 	}
-	_ = w.Flush()
+	_ = table.Flush()
 }
 
-type fleetRehearse struct {
-	Processes int           `default:"20" help:"Dispatchers of each fleet."`
-	Voters    int           `default:"5" help:"Of them, those that vote."`
-	Schedules int           `default:"10" help:"How many schedules of faults are played, one seed each."`
+type fleetRehearseCmd struct {
+	Processes int           `default:"20" help:"Dispatchers in each fleet."`
+	Voters    int           `default:"5" help:"Dispatchers among them that vote."`
+	Schedules int           `default:"10" help:"Number of fault schedules to run, each with a seed of its own."`
 	Seed      uint64        `default:"1" help:"The first seed."`
-	Length    time.Duration `default:"8s" help:"The time in which faults begin."`
-	Within    time.Duration `default:"1m" help:"The time in which a fleet has to be whole again."`
-	Lease     time.Duration `default:"1s" help:"Of the fleet's shares."`
-	At        int           `default:"1" help:"Fleets at once."`
-	Out       string        `help:"Outcomes, a JSON line each." default:"rehearsals.jsonl" placeholder:"FILE"`
-	Repeats   float64       `default:"0" help:"A budget of so many repeats a second, with every other job failing; 0 for none."`
-	Sockets   int           `default:"0" help:"A budget of so many connections at each node; 0 for none."`
-	Keep      bool          `help:"Keep every fleet's logs and history, not only those of broken rules."`
+	Length    time.Duration `default:"8s" help:"Period in which faults begin."`
+	Within    time.Duration `default:"1m" help:"Time limit for a fleet to recover completely."`
+	Lease     time.Duration `default:"1s" help:"Lease of the fleet's shares."`
+	At        int           `default:"1" help:"Fleets run in parallel."`
+	Out       string        `help:"File for the results, one JSON line each." default:"rehearsals.jsonl" placeholder:"FILE"`
+	Repeats   float64       `default:"0" help:"Budget of repeats a second, with every other job failing; 0 for none."`
+	Sockets   int           `default:"0" help:"Budget of connections at each node; 0 for none."`
+	Keep      bool          `help:"Keep the logs and history of every fleet, not only of those that violated a rule."`
 }
 
-var errRule = errors.New("a rule was broken")
+var errRuleViolated = errors.New("a fleet violated a rule")
 
-// Run plays the schedules and sums them up. It fails where a rule was broken, and keeps that fleet's files.
-func (w *fleetRehearse) Run(r *run) error {
+// Run runs the schedules and prints the result of each. It fails if a rule was violated, and keeps
+// the files of that fleet.
+func (cmd *fleetRehearseCmd) Run(r *runContext) error {
 	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if w.Voters < 1 || w.Voters > w.Processes || w.At < 1 {
-		return fmt.Errorf("--voters %d, --processes %d, --at %d make no fleet", w.Voters, w.Processes, w.At)
+	if cmd.Voters < 1 || cmd.Voters > cmd.Processes || cmd.At < 1 {
+		return fmt.Errorf("--voters %d must be from 1 to --processes %d, and --at %d at least 1", cmd.Voters, cmd.Processes, cmd.At)
 	}
-	out, err := os.OpenFile(w.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	results, err := os.OpenFile(cmd.Out, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = out.Close() }()
+	defer func() { _ = results.Close() }()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	var mu sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(w.At)
-	for i := range w.Schedules {
+	group.SetLimit(cmd.At)
+	for i := range cmd.Schedules {
 		group.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
@@ -173,20 +177,20 @@
 				return err
 			}
 			var repeats *rig.RepeatLimit
-			if w.Repeats > 0 {
-				repeats = &rig.RepeatLimit{Rate: w.Repeats, Burst: float64(2*w.Processes + 10), Share: 0.1, Saved: 1}
+			if cmd.Repeats > 0 {
+				repeats = &rig.RepeatLimit{Rate: cmd.Repeats, Burst: float64(2*cmd.Processes + 10), Share: 0.1, Saved: 1}
 			}
-			o, history, err := rig.Rehearse(ctx, rig.Plan{Options: rig.Options{Repeats: repeats, Connections: w.Sockets, Dir: dir, Program: []string{program, "serve"}, Voters: w.Voters, Members: w.Processes,
-				Room: 2 * w.Processes, Nodes: 4, Lease: w.Lease, Whole: 100, Burst: float64(2*w.Processes + 10), Floor: 1, Work: 10 * time.Millisecond},
-				Seed: w.Seed + uint64(i), Length: w.Length, Within: w.Within})
+			outcome, history, err := rig.Rehearse(ctx, rig.Plan{Options: rig.Options{Repeats: repeats, Connections: cmd.Sockets, Dir: dir, Program: []string{program, "serve"}, Voters: cmd.Voters, Members: cmd.Processes,
+				Room: 2 * cmd.Processes, Nodes: 4, Lease: cmd.Lease, Whole: 100, Burst: float64(2*cmd.Processes + 10), Floor: 1, Work: 10 * time.Millisecond},
+				Seed: cmd.Seed + uint64(i), Length: cmd.Length, Within: cmd.Within})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				o.Broken = "rig: " + err.Error()
+				outcome.Broken = "rig: " + err.Error()
 			}
-			fmt.Fprintf(r.Out, "seed %d: %s; %d sent, %d reached nodes, %.2f of the whole used, whole again after %.1f leases\n", o.Seed,
-				cmp.Or(o.Broken, "kept"), o.Sent, o.Reached, o.Used, o.Recovered)
-			if o.Broken != "" || w.Keep {
+			fmt.Fprintf(r.Out, "seed %d: %s; %d sent, %d reached nodes, %.2f of the whole used, whole again after %.1f leases\n", outcome.Seed,
+				cmp.Or(outcome.Broken, "kept"), outcome.Sent, outcome.Reached, outcome.Used, outcome.Recovered)
+			if outcome.Broken != "" || cmd.Keep {
 				fmt.Fprintf(r.Out, "  kept in %s\n", dir)
 				if f, err := os.Create(filepath.Join(dir, "history.jsonl")); err == nil && history != nil {
 					_ = history.Write(f)
@@ -195,11 +199,11 @@
 			} else {
 				_ = os.RemoveAll(dir)
 			}
-			if err := json.NewEncoder(out).Encode(o); err != nil {
+			if err := json.NewEncoder(results).Encode(outcome); err != nil {
 				return err
 			}
-			if o.Broken != "" {
-				return errRule
+			if outcome.Broken != "" {
+				return errRuleViolated
 			}
 			return nil
 		})
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -17,91 +17,91 @@
 	"tinroute.example/tinroute/internal/lab/load"
 )
 
-type loadWord struct {
-	Target      string        `help:"The dispatcher's clients' address; $LB_LISTEN where empty." placeholder:"HOST:PORT"`
+type loadCmd struct {
+	Target      string        `help:"Address where the dispatcher serves clients; $LB_LISTEN if empty." placeholder:"HOST:PORT"`
 	Rate        float64       `default:"50" help:"Requests a second (open loop)."`
-	Clients     int           `help:"Clients that each wait for their answer (closed loop), in place of a rate."`
-	For         time.Duration `default:"10s" help:"How long to make load."`
-	Shape       string        `default:"steady" enum:"steady,wave,burst,ramp" help:"How the rate runs over time: ${enum}."`
-	Swing       float64       `help:"How far a wave or burst goes beyond the rate (0.5 where 0); where a ramp begins, as a share of it."`
-	Period      time.Duration `default:"10s" help:"Of a wave or burst."`
-	Poisson     bool          `help:"Arrivals at random, not evenly spaced."`
-	Mix         string        `help:"Classes and their shares, as NAME=SHARE,...; those of $LB_CONFIG's settings, evenly, where empty." placeholder:"MIX"`
-	Owner       string        `help:"Req-Owner of every request; the settings' first tenant where empty."`
-	Connections int           `default:"256" help:"Connections open at once at most."`
-	Seed        uint64        `default:"1" help:"Of the arrivals and their classes."`
-	JSON        bool          `help:"Write the result as one JSON object."`
+	Clients     int           `help:"Number of clients that each wait for their answer (closed loop), instead of a rate."`
+	For         time.Duration `default:"10s" help:"How long to generate load."`
+	Shape       string        `default:"steady" enum:"steady,wave,burst,ramp" help:"How the rate changes over time: ${enum}."`
+	Swing       float64       `help:"How far a wave or burst exceeds the rate (0.5 if 0), or where a ramp begins; both as a share of the rate."`
+	Period      time.Duration `default:"10s" help:"Period of a wave or burst."`
+	Poisson     bool          `help:"Random (Poisson) arrivals instead of evenly spaced ones."`
+	Mix         string        `help:"Classes and their shares, as NAME=SHARE,...; if empty, all classes of the settings in $LB_CONFIG in equal shares." placeholder:"MIX"`
+	Owner       string        `help:"Req-Owner header of every request; the first tenant of the settings if empty."`
+	Connections int           `default:"256" help:"Maximum number of open connections."`
+	Seed        uint64        `default:"1" help:"Seed of the arrivals and their classes."`
+	JSON        bool          `help:"Print the result as one JSON object."`
 }
 
-var errNotHeld = errors.New("the rate asked for was not held")
+var errRateNotSustained = errors.New("the requested rate was not sustained")
 
-// classes are the mix: the settings' classes with their deadlines and repeats, and the shares the
-// flag gives.
-func (w *loadWord) classes(getenv func(string) string) ([]load.Class, string, error) {
+// classes returns the classes to request, with their shares from the flag and their deadlines and
+// repeat rules from the settings, and the value of the Req-Owner header.
+func (cmd *loadCmd) classes(getenv func(string) string) ([]load.Class, string, error) {
 	var known []balance.Class
-	owner := w.Owner
+	owner := cmd.Owner
 	if getenv("LB_CONFIG") != "" {
-		c, err := config.Load(getenv)
+		cfg, err := config.Load(getenv)
 		if err != nil {
 			return nil, "", err
 		}
-		known = c.Settings.Classes
-		if owner == "" && len(c.Settings.Tenants) > 0 {
-			owner = c.Settings.Tenants[0].Name
+		known = cfg.Settings.Classes
+		if owner == "" && len(cfg.Settings.Tenants) > 0 {
+			owner = cfg.Settings.Tenants[0].Name
 		}
-		if w.Target == "" {
-			w.Target = c.Listen
+		if cmd.Target == "" {
+			cmd.Target = cfg.Listen
 		}
 	}
-	deadline := func(name string) (time.Duration, bool, bool) {
-		for _, k := range known {
-			if k.Name == name {
-				return k.Deadline, k.Idempotency != balance.Idempotent, true
+	classRules := func(name string) (time.Duration, bool, bool) {
+		for _, class := range known {
+			if class.Name == name {
+				return class.Deadline, class.Idempotency != balance.Idempotent, true
 			}
 		}
 		return 5 * time.Second, false, known == nil
 	}
 	var out []load.Class
-	if w.Mix == "" {
-		for _, k := range known {
-			out = append(out, load.Class{Name: k.Name, Share: 1, Deadline: k.Deadline, Keyed: k.Idempotency != balance.Idempotent})
+	if cmd.Mix == "" {
+		for _, class := range known {
+			out = append(out, load.Class{Name: class.Name, Share: 1, Deadline: class.Deadline, Keyed: class.Idempotency != balance.Idempotent})
 		}
 		if out == nil {
-			return nil, "", errors.New("--mix is wanted where LB_CONFIG names no settings")
+			return nil, "", errors.New("--mix is required unless the settings in LB_CONFIG have classes")
 		}
 		return out, owner, nil
 	}
-	for _, part := range strings.Split(w.Mix, ",") {
+	for _, part := range strings.Split(cmd.Mix, ",") {
 		name, share, ok := strings.Cut(part, "=")
-		n, err := strconv.ParseFloat(share, 64)
-		if !ok || err != nil || n < 0 {
-			return nil, "", fmt.Errorf("--mix %q: NAME=SHARE,... is wanted", w.Mix)
+		weight, err := strconv.ParseFloat(share, 64)
+		if !ok || err != nil || weight < 0 {
+			return nil, "", fmt.Errorf("--mix %q: want NAME=SHARE pairs separated by commas", cmd.Mix)
 		}
-		d, keyed, known := deadline(name)
+		deadline, keyed, known := classRules(name)
 		if !known {
 			return nil, "", fmt.Errorf("--mix: no class %q in the settings", name)
 		}
-		out = append(out, load.Class{Name: name, Share: n, Deadline: d, Keyed: keyed})
+		out = append(out, load.Class{Name: name, Share: weight, Deadline: deadline, Keyed: keyed})
 	}
 	return out, owner, nil
 }
 
-// Run makes the load and tells what came of it; it fails where the rate was not held.
-func (w *loadWord) Run(r *run) error {
-	classes, owner, err := w.classes(r.Getenv)
+// Run generates the load and prints the results. It fails if the rate was not sustained.
+func (cmd *loadCmd) Run(r *runContext) error {
+	classes, owner, err := cmd.classes(r.Getenv)
 	if err != nil {
 		return err
 	}
-	if w.Target == "" {
-		w.Target = r.Getenv("LB_LISTEN")
+	if cmd.Target == "" {
+		cmd.Target = r.Getenv("LB_LISTEN")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	o := load.Options{Target: w.Target, Classes: classes, Owner: owner, Rate: w.Rate, Clients: w.Clients, For: w.For,
-		Shape: w.Shape, Swing: w.Swing, Period: w.Period, Poisson: w.Poisson, Connections: w.Connections, Seed: w.Seed}
-	res, err := load.Run(ctx, o, func(sent, due int) {
-		switch { // a line rewritten in place on a terminal; in a log, lines
-		case w.JSON:
+	options := load.Options{Target: cmd.Target, Classes: classes, Owner: owner, Rate: cmd.Rate, Clients: cmd.Clients, For: cmd.For,
+		Shape: cmd.Shape, Swing: cmd.Swing, Period: cmd.Period, Poisson: cmd.Poisson, Connections: cmd.Connections, Seed: cmd.Seed}
+	result, err := load.Run(ctx, options, func(sent, due int) {
+		switch { // one line rewritten in place on a terminal, otherwise a line for each update
+		case cmd.JSON:
 		case r.IsTerminal:
 			fmt.Fprintf(r.Err, "\rsent %d of %d", sent, due)
 		default:
@@ -111,58 +111,69 @@
 	if err != nil {
 		return err
 	}
-	if w.JSON {
-		report(r.Out, res)
+	if cmd.JSON {
+		printJSON(r.Out, result)
 	} else {
 		if r.IsTerminal {
 			fmt.Fprint(r.Err, "\r")
 		}
-		summary(r.Out, res)
+		printSummary(r.Out, result)
 	}
-	if !res.Held {
-		return errNotHeld
+	if !result.Held {
+		return errRateNotSustained
 	}
 	return nil
 }
 
-// summary writes the result for people.
-func summary(out io.Writer, res *load.Result) {
-	p := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
+// printSummary prints the result as a table.
+func printSummary(out io.Writer, result *load.Result) {
+	printf := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
 	ms := func(us int64) string { return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64) }
-	p("sent %d of %d due; %.1f a second of %.1f asked; sent at most %v late", res.Sent, res.Asked, res.Got, res.Wanted,
-		res.MostLag.Round(time.Microsecond))
-	p("%-14s %8s %8s %8s %8s %8s %8s %8s %8s", "class", "served", "refused", "failed", "broken", "p50 ms", "p90", "p99", "max")
-	for _, c := range res.Classes {
-		h := c.Latency
-		p("%-14s %8d %8d %8d %8d %8s %8s %8s %8s", c.Name, c.Served, c.Refused, c.Failed, c.Broken,
-			ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99)), ms(h.Max()))
+	printf("sent %d of %d due; %.1f a second of %.1f asked; sent at most %v late", result.Sent, result.Asked, result.Got, result.Wanted,
+		result.MostLag.Round(time.Microsecond))
+	printf("%-14s %8s %8s %8s %8s %8s %8s %8s %8s", "class", "served", "refused", "failed", "broken", "p50 ms", "p90", "p99", "max")
+	for _, c := range result.Classes {
+		latency := c.Latency
+		printf("%-14s %8d %8d %8d %8d %8s %8s %8s %8s", c.Name, c.Served, c.Refused, c.Failed, c.Broken,
+			ms(latency.ValueAtQuantile(50)), ms(latency.ValueAtQuantile(90)), ms(latency.ValueAtQuantile(99)), ms(latency.Max()))
 	}
-	if !res.Held {
-		p("the rate was not held: the target, or this machine, could not take it")
+	if !result.Held {
+		printf("the rate was not held: the target, or this machine, could not take it")
 	}
 }
 
-// report writes the result as one JSON object.
-func report(out io.Writer, res *load.Result) {
+// printJSON prints the result as one JSON object.
+func printJSON(out io.Writer, result *load.Result) {
 	type class struct {
-		Name                            string
-		Served, Refused, Failed, Broken int
-		Statuses                        map[int]int
-		P50, P90, P99, P999, Max        int64 // microseconds
+		Name        string      `json:"Name"`
+		Served      int         `json:"Served"`
+		Refused     int         `json:"Refused"`
+		Failed      int         `json:"Failed"`
+		Unanswered  int         `json:"Broken"`
+		StatusCount map[int]int `json:"Statuses"`
+		P50Micros   int64       `json:"P50"`
+		P90Micros   int64       `json:"P90"`
+		P99Micros   int64       `json:"P99"`
+		P999Micros  int64       `json:"P999"`
+		MaxMicros   int64       `json:"Max"`
 	}
-	v := struct {
-		Asked, Sent     int
-		Wanted, Got     float64
-		Held            bool
-		MostLagUS       int64
-		Classes         []class
-		P50, P99, MaxUS int64
-	}{Asked: res.Asked, Sent: res.Sent, Wanted: res.Wanted, Got: res.Got, Held: res.Held, MostLagUS: res.MostLag.Microseconds(),
-		P50: res.All.ValueAtQuantile(50), P99: res.All.ValueAtQuantile(99), MaxUS: res.All.Max()}
-	for _, c := range res.Classes {
-		h := c.Latency
-		v.Classes = append(v.Classes, class{c.Name, c.Served, c.Refused, c.Failed, c.Broken, c.Statuses,
-			h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.ValueAtQuantile(99.9), h.Max()})
+	output := struct {
+		Due          int     `json:"Asked"`
+		Sent         int     `json:"Sent"`
+		WantedRate   float64 `json:"Wanted"`
+		SentRate     float64 `json:"Got"`
+		Sustained    bool    `json:"Held"`
+		MaxLagMicros int64   `json:"MostLagUS"`
+		Classes      []class `json:"Classes"`
+		P50Micros    int64   `json:"P50"`
+		P99Micros    int64   `json:"P99"`
+		MaxMicros    int64   `json:"MaxUS"`
+	}{Due: result.Asked, Sent: result.Sent, WantedRate: result.Wanted, SentRate: result.Got, Sustained: result.Held, MaxLagMicros: result.MostLag.Microseconds(),
+		P50Micros: result.All.ValueAtQuantile(50), P99Micros: result.All.ValueAtQuantile(99), MaxMicros: result.All.Max()}
+	for _, c := range result.Classes {
+		latency := c.Latency
+		output.Classes = append(output.Classes, class{c.Name, c.Served, c.Refused, c.Failed, c.Broken, c.Statuses,
+			latency.ValueAtQuantile(50), latency.ValueAtQuantile(90), latency.ValueAtQuantile(99), latency.ValueAtQuantile(99.9), latency.Max()})
 	}
-	_ = json.NewEncoder(out).Encode(v)
+	_ = json.NewEncoder(out).Encode(output)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config is the one place where configuration is read, checked and given
-// defaults: the settings object that the simulator and the platform share, and the file
-// that a real dispatcher starts from. Its errors name the faulty key.
+// Package config reads and validates all configuration and applies defaults: the settings
+// object shared by the simulator and the platform, the dispatcher's JSON file, and the TOML
+// files for Gearman, the fleet and telemetry. Its errors name the invalid key.
 package config
 
 import (
@@ -16,45 +16,45 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Defaults for what the file leaves out, and the floor below which a dispatcher cannot
-// work.
+// Defaults for keys that the file omits. A dispatcher cannot work with fewer than
+// minSockets descriptors.
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	leastSockets    = 64
-	defaultConnIdle = 15 * time.Second
-	defaultMaxOpen  = 20000
+	defaultMemoryMB        = 192
+	defaultSockets         = 1024
+	minSockets             = 64
+	defaultConnIdleTimeout = 15 * time.Second
+	defaultMaxOpenRequests = 20000
 )
 
-// Limits are what the machine allows the process.
+// Limits are the machine resources that the process may use.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
-	Sockets  int
+	Sockets  int // file descriptors
 }
 
-// Config is everything that a dispatcher is told at its start.
+// Config is the content of the dispatcher's main configuration file.
 type Config struct {
 	Name         string
 	Listen       string
 	Discovery    string
-	AdminListen  string // the operators' door, none where empty
+	AdminListen  string // address of the admin server; empty disables it
 	Limits       Limits
-	Hooks        []string // script files, in the order they are asked
-	KnownWorkers []byte   // the service table as last held, in discovery's form
+	Hooks        []string // script files, in the order in which they are called
+	KnownWorkers []byte   // service table from an earlier run, in discovery's JSON format; nil for none
 	Settings     *balance.Settings
 	Names        *Names
 }
 
-// Load reads the file that $LB_CONFIG names. The other variables win over the file's own
-// name and addresses, which repeat them: $LB_OPS over ops, the operators' door.
+// Load reads the file named by $LB_CONFIG. $LB_NAME, $LB_LISTEN, $LB_DISCOVERY and $LB_OPS
+// override the keys name, listen, discovery and ops of the file.
 func Load(getenv func(string) string) (*Config, error) { return load(getenv, getenv("LB_DISCOVERY")) }
 
-// Reload reads that file again, in a process that has been told to. Its environment is as
-// old as the process, so here the file's word on discovery wins over $LB_DISCOVERY.
+// Reload reads the file named by $LB_CONFIG again while the process runs. The environment
+// is as old as the process, so the file's discovery address overrides $LB_DISCOVERY here.
 func Reload(getenv func(string) string) (*Config, error) { return load(getenv, "") }
 
-func load(getenv func(string) string, discovery string) (*Config, error) {
+func load(getenv func(string) string, discoveryOverride string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return nil, errors.New("LB_CONFIG: not set")
@@ -63,92 +63,92 @@
 	if err != nil {
 		return nil, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	c, err := Parse(data)
+	cfg, err := Parse(data)
 	if err != nil {
-		return nil, located(path, data, err)
+		return nil, withPosition(path, data, err)
 	}
-	c.Name = cmp.Or(getenv("LB_NAME"), c.Name)
-	c.Listen = cmp.Or(getenv("LB_LISTEN"), c.Listen)
-	c.AdminListen = cmp.Or(getenv("LB_OPS"), c.AdminListen)
-	c.Discovery = cmp.Or(discovery, c.Discovery)
+	cfg.Name = cmp.Or(getenv("LB_NAME"), cfg.Name)
+	cfg.Listen = cmp.Or(getenv("LB_LISTEN"), cfg.Listen)
+	cfg.AdminListen = cmp.Or(getenv("LB_OPS"), cfg.AdminListen)
+	cfg.Discovery = cmp.Or(discoveryOverride, cfg.Discovery)
 	switch {
-	case c.Listen == "":
+	case cfg.Listen == "":
 		return nil, errors.New("listen: missing, and LB_LISTEN is not set")
-	case c.Discovery == "":
+	case cfg.Discovery == "":
 		return nil, errors.New("discovery: missing")
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// check names the limit that makes no sense, if any.
+// check returns an error for the first limit that is out of range.
 func (l Limits) check() error {
 	switch {
 	case l.Cores <= 0:
 		return fmt.Errorf("limits.cores: %v is not above 0", l.Cores)
 	case l.MemoryMB < 16:
 		return fmt.Errorf("limits.memory_mb: %d is under 16", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, leastSockets)
+	case l.Sockets < minSockets:
+		return fmt.Errorf("limits.sockets: %d is under %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// Parse reads and checks the file's text.
+// Parse reads and validates the text of the main configuration file.
 func Parse(data []byte) (*Config, error) {
-	v, err := fastjson.ParseBytes(data)
+	root, err := fastjson.ParseBytes(data)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if v.Type() != fastjson.TypeObject {
+	if root.Type() != fastjson.TypeObject {
 		return nil, errors.New("configuration: not an object")
 	}
-	f := &facts{}
-	c := &Config{Name: f.text(v, "name"), Listen: f.text(v, "listen"), Discovery: f.text(v, "discovery"), AdminListen: f.text(v, "ops"),
-		Limits: Limits{Cores: f.number(v, 1, "limits", "cores"),
-			MemoryMB: int(f.number(v, defaultMemoryMB, "limits", "memory_mb")),
-			Sockets:  int(f.number(v, defaultSockets, "limits", "sockets"))}}
-	for _, x := range f.list(v, "hooks") {
-		file, err := x.StringBytes()
+	r := &settingsReader{}
+	cfg := &Config{Name: r.text(root, "name"), Listen: r.text(root, "listen"), Discovery: r.text(root, "discovery"), AdminListen: r.text(root, "ops"),
+		Limits: Limits{Cores: r.number(root, 1, "limits", "cores"),
+			MemoryMB: int(r.number(root, defaultMemoryMB, "limits", "memory_mb")),
+			Sockets:  int(r.number(root, defaultSockets, "limits", "sockets"))}}
+	for _, hook := range r.list(root, "hooks") {
+		file, err := hook.StringBytes()
 		if err != nil {
-			f.fail("hooks", "not text")
+			r.fail("hooks", "not text")
 		}
-		c.Hooks = append(c.Hooks, string(file))
+		cfg.Hooks = append(cfg.Hooks, string(file))
 	}
-	seed := f.text(v, "seed")
-	if f.err != nil {
-		return nil, fmt.Errorf("configuration: %w", f.err)
+	seed := r.text(root, "seed")
+	if r.err != nil {
+		return nil, fmt.Errorf("configuration: %w", r.err)
 	}
-	if err := c.Limits.check(); err != nil {
+	if err := cfg.Limits.check(); err != nil {
 		return nil, err
 	}
-	settings := v.Get("settings")
+	settings := root.Get("settings")
 	if settings == nil {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Names, err = ParseSettings(settings); err != nil {
+	if cfg.Settings, cfg.Names, err = ParseSettings(settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if seed != "" {
-		if c.Settings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
+		if cfg.Settings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 			return nil, fmt.Errorf("seed: %q is not a number in base 16", seed)
 		}
 	}
-	if known := v.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
+	if known := root.Get("known"); known != nil && known.Type() != fastjson.TypeNull {
 		if known.Type() != fastjson.TypeObject {
 			return nil, errors.New("known: not an object")
 		}
-		c.KnownWorkers = known.MarshalTo(nil)
+		cfg.KnownWorkers = known.MarshalTo(nil)
 	}
-	if c.Settings.ConnIdleTimeout <= 0 {
-		c.Settings.ConnIdleTimeout = defaultConnIdle
+	if cfg.Settings.ConnIdleTimeout <= 0 {
+		cfg.Settings.ConnIdleTimeout = defaultConnIdleTimeout
 	}
-	if c.Settings.MaxOpenJobs <= 0 {
-		c.Settings.MaxOpenJobs = defaultMaxOpen
+	if cfg.Settings.MaxOpenJobs <= 0 {
+		cfg.Settings.MaxOpenJobs = defaultMaxOpenRequests
 	}
-	if c.Settings.ConnectTimeout <= 0 {
+	if cfg.Settings.ConnectTimeout <= 0 {
 		return nil, errors.New("settings: limits.dial_timeout_s: not above 0")
 	}
-	// The protocol on sockets has neither probes nor messages between dispatchers.
-	c.Settings.AllowProbes, c.Settings.AllowPeerMessages = false, false
-	return c, nil
+	// The socket protocol has neither probes nor messages between dispatchers.
+	cfg.Settings.AllowProbes, cfg.Settings.AllowPeerMessages = false, false
+	return cfg, nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -15,55 +15,55 @@
 	"tinroute.example/tinroute/internal/fleet/share"
 )
 
-// Defaults for what the fleet's file leaves out.
+// Defaults for keys that the fleet file omits, and bounds of its values.
 const (
-	defaultMembers = 64
-	defaultLease   = 2 * time.Second
-	defaultPace    = time.Second
-	defaultDrift   = 0.001
-	mostDrift      = 0.1
-	leastLease     = 100 * time.Millisecond
+	defaultMaxMembers        = 64
+	defaultLease             = 2 * time.Second
+	defaultHeartbeatInterval = time.Second
+	defaultClockDrift        = 0.001
+	maxClockDrift            = 0.1
+	minLease                 = 100 * time.Millisecond
 )
 
-// Fleet is the file of the fleet that a dispatcher belongs to.
+// Fleet is the content of the fleet file: the fleet that a dispatcher belongs to.
 type Fleet struct {
 	Ledger            ledger.Settings
 	Terms             ledger.Terms
-	Voters            map[string]Voter // by name, as reached from here; a voter's own addresses are what it listens at
-	VoterDir          string           // this process's log of the ledger, where it votes
-	Bootstrap         bool             // an empty folder is right: the fleet begins
-	HeartbeatInterval time.Duration    // of the voters' heartbeats
-	BudgetVersion     uint64           // of the budgets
+	Voters            map[string]Voter // by name, with addresses as seen from this host; a voter listens at its own
+	VoterDir          string           // directory of this process's Raft log; empty if it does not vote
+	Bootstrap         bool             // whether the Raft log directory may be empty because the fleet is new
+	HeartbeatInterval time.Duration    // between voters
+	BudgetVersion     uint64
 	Budgets           []ledger.Budget
-	Tenants           map[int]TenantBudget // by tenant
-	Repeats           *RepeatBudget        // nil where repeats and second copies have no budget
-	ConnectionBudget  string               // the budget of connections at each worker, empty for none
+	Tenants           map[int]TenantBudget // by tenant index
+	Repeats           *RepeatBudget        // nil if repeats and second copies have no budget
+	ConnectionBudget  string               // name of the budget of connections at each worker, empty for none
 }
 
-// RepeatBudget bounds attempts that may do a job's work once more.
+// RepeatBudget limits the attempts that may repeat work already done for a job.
 type RepeatBudget struct {
-	Budget        string
-	ShareMilli    int64 // thousandths of a repeat that each first try allows beside the budget
-	MaxSavedMilli int64 // the most of these saved up at one dispatcher, in thousandths
+	Budget        string // name
+	ShareMilli    int64  // repeats that each first attempt allows beside the budget, in thousandths
+	MaxSavedMilli int64  // maximum number of such repeats saved up at one dispatcher, in thousandths
 }
 
-// defaultSaved is how many repeats a dispatcher may have saved up by its first tries.
-const defaultSaved = 10
+// defaultMaxSavedRepeats is the default maximum number of repeats that first attempts save up at one dispatcher.
+const defaultMaxSavedRepeats = 10
 
-// Voter is where a voter is reached.
+// Voter holds the addresses of a voter.
 type Voter struct {
-	RaftAddr   string `toml:"raft"`   // by the other voters
-	LedgerAddr string `toml:"ledger"` // by members
+	RaftAddr   string `toml:"raft"`   // for the other voters
+	LedgerAddr string `toml:"ledger"` // for members
 }
 
-// TenantBudget is the budget that a tenant's jobs are admitted by.
+// TenantBudget is the budget that admits a tenant's jobs.
 type TenantBudget struct {
-	Budget     string
-	CountsWork bool // it counts seconds of work, else jobs
+	Budget     string // name
+	CountsWork bool   // whether it counts seconds of work rather than jobs
 }
 
-// LoadFleet reads and checks the fleet's file. Where name is among its voters and it names a folder, the
-// process votes.
+// LoadFleet reads and validates the fleet file. If the file sets voter.dir, the process votes and
+// name has to be one of the voters.
 func LoadFleet(path, name string, s *balance.Settings, names *Names) (*Fleet, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -76,10 +76,10 @@
 	return f, nil
 }
 
-// ParseFleet reads the fleet's file from its text.
+// ParseFleet reads and validates the text of the fleet file.
 //
-//revive:disable-next-line:function-length one list of a file's keys, read from top to bottom
-func ParseFleet(text, name string, s *balance.Settings, names *Names) (*Fleet, error) {
+//revive:disable-next-line:function-length handles the keys of one file in sequence
+func ParseFleet(text, name string, settings *balance.Settings, names *Names) (*Fleet, error) {
 	type part struct {
 		Weight  int64   `toml:"weight"`
 		Floor   float64 `toml:"floor"`
@@ -117,113 +117,113 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: unknown key", unknown[0])
 	}
-	longest := time.Duration(0)
-	for _, c := range s.Classes {
-		longest = max(longest, c.Deadline)
+	longestDeadline := time.Duration(0)
+	for _, class := range settings.Classes {
+		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	c := checker{}
-	f := &Fleet{Ledger: ledger.Settings{Fleet: file.Fleet, Generation: uint64(c.count("generation", file.Generation, 1, math.MaxInt64)),
-		MostMembers: int(c.count("members", file.Members, defaultMembers, 4096))},
-		Terms:  ledger.Terms{Lease: c.time("lease", file.Lease, defaultLease), Linger: c.time("linger", file.Linger, longest), Drift: defaultDrift},
-		Voters: file.Voters, HeartbeatInterval: c.time("voter.pace", file.Voter.Pace, defaultPace),
-		BudgetVersion: uint64(c.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
+	check := validator{}
+	fleet := &Fleet{Ledger: ledger.Settings{Fleet: file.Fleet, Generation: uint64(check.count("generation", file.Generation, 1, math.MaxInt64)),
+		MostMembers: int(check.count("members", file.Members, defaultMaxMembers, 4096))},
+		Terms:  ledger.Terms{Lease: check.duration("lease", file.Lease, defaultLease), Linger: check.duration("linger", file.Linger, longestDeadline), Drift: defaultClockDrift},
+		Voters: file.Voters, HeartbeatInterval: check.duration("voter.pace", file.Voter.Pace, defaultHeartbeatInterval),
+		BudgetVersion: uint64(check.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
 	if file.Drift != nil {
-		f.Terms.Drift = *file.Drift
+		fleet.Terms.Drift = *file.Drift
 	}
 	switch {
 	case file.Fleet == "":
-		c.fail("fleet: missing")
+		check.fail("fleet: missing")
 	case name == "":
-		c.fail("fleet: this dispatcher has no name")
+		check.fail("fleet: this dispatcher has no name")
 	case len(file.Voters) == 0:
-		c.fail("voters: none")
-	case f.Terms.Drift < 0 || f.Terms.Drift > mostDrift:
-		c.fail("drift: %v is not from 0 to %v", f.Terms.Drift, mostDrift)
-	case f.Terms.Lease < leastLease:
-		c.fail("lease: %v is under %v", f.Terms.Lease, leastLease)
-	case f.Terms.Linger < longest:
-		c.fail("linger: %v is under the longest deadline, %v", f.Terms.Linger, longest)
+		check.fail("voters: no voter is listed")
+	case fleet.Terms.Drift < 0 || fleet.Terms.Drift > maxClockDrift:
+		check.fail("drift: %v is not from 0 to %v", fleet.Terms.Drift, maxClockDrift)
+	case fleet.Terms.Lease < minLease:
+		check.fail("lease: %v is under %v", fleet.Terms.Lease, minLease)
+	case fleet.Terms.Linger < longestDeadline:
+		check.fail("linger: %v is under the longest deadline, %v", fleet.Terms.Linger, longestDeadline)
 	case file.Voter.Dir != "" && file.Voters[name] == Voter{}:
-		c.fail("voter.dir: %s is not among the voters", name)
+		check.fail("voter.dir: %s is not among the voters", name)
 	case file.Voter.Dir == "" && file.Voter.Begin:
-		c.fail("voter.begin: without voter.dir")
+		check.fail("voter.begin: without voter.dir")
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Voters)) {
 		if v := file.Voters[name]; v.RaftAddr == "" || v.LedgerAddr == "" {
-			c.fail("voters.%s: raft and ledger are both needed", name)
+			check.fail("voters.%s: raft and ledger are both needed", name)
 		}
 	}
-	f.VoterDir, f.Bootstrap = file.Voter.Dir, file.Voter.Begin
-	milli := func(key string, x float64) int64 {
+	fleet.VoterDir, fleet.Bootstrap = file.Voter.Dir, file.Voter.Begin
+	toMilli := func(key string, x float64) int64 {
 		if x < 0 || x > float64(share.Most)/1000 || math.IsNaN(x) {
-			c.fail("%s: %v is not from 0 to %d", key, x, share.Most/1000)
+			check.fail("%s: %v is not from 0 to %d", key, x, share.Most/1000)
 			return 0
 		}
 		return int64(math.Round(x * 1000))
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Budget)) {
-		in, key := file.Budget[name], "budget."+name
-		b := ledger.Budget{Name: name, Kind: ledger.Rate, Whole: milli(key+".whole", in.Whole), Burst: milli(key+".burst", in.Burst),
-			Lend: in.Lend, Parts: map[string]ledger.Part{}}
-		if least := int64(f.Ledger.MostMembers) * 1000; b.Burst < least && in.Counts != "connections" {
-			c.fail("%s.burst: %v is under the number of members, %d", key, in.Burst, f.Ledger.MostMembers)
+		entry, key := file.Budget[name], "budget."+name
+		budget := ledger.Budget{Name: name, Kind: ledger.Rate, Whole: toMilli(key+".whole", entry.Whole), Burst: toMilli(key+".burst", entry.Burst),
+			Lend: entry.Lend, Parts: map[string]ledger.Part{}}
+		if minBurst := int64(fleet.Ledger.MostMembers) * 1000; budget.Burst < minBurst && entry.Counts != "connections" {
+			check.fail("%s.burst: %v is under the number of members, %d", key, entry.Burst, fleet.Ledger.MostMembers)
 		}
-		for who, p := range in.Part {
-			k := key + ".part." + who
+		for member, p := range entry.Part {
+			partKey := key + ".part." + member
 			if p.Weight < 0 || p.Weight > 1000 {
-				c.fail("%s.weight: %d is not from 0 to 1000", k, p.Weight)
+				check.fail("%s.weight: %d is not from 0 to 1000", partKey, p.Weight)
 			}
-			b.Parts[who] = ledger.Part{Weight: p.Weight, Floor: milli(k+".floor", p.Floor), Ceiling: milli(k+".ceiling", p.Ceiling)}
+			budget.Parts[member] = ledger.Part{Weight: p.Weight, Floor: toMilli(partKey+".floor", p.Floor), Ceiling: toMilli(partKey+".ceiling", p.Ceiling)}
 		}
-		if in.Counts == "connections" {
-			b.Kind, b.Burst = ledger.Held, 0
+		if entry.Counts == "connections" {
+			budget.Kind, budget.Burst = ledger.Held, 0
 			switch {
-			case in.Tenant != "" || in.Burst != 0:
-				c.fail("%s: a budget of connections has neither tenant nor burst", key)
-			case f.ConnectionBudget != "":
-				c.fail("%s.counts: %s counts connections already", key, f.ConnectionBudget)
-			case b.Whole%1000 != 0:
-				c.fail("%s.whole: %v is no whole number", key, in.Whole)
-			case f.Terms.Linger < s.ConnIdleTimeout: // a stopped process's idle ones stay until the worker closes them
-				c.fail("linger: %v is under the time after which workers close idle connections, %v", f.Terms.Linger, s.ConnIdleTimeout)
+			case entry.Tenant != "" || entry.Burst != 0:
+				check.fail("%s: a budget of connections cannot have a tenant or a burst", key)
+			case fleet.ConnectionBudget != "":
+				check.fail("%s.counts: budget %s already counts connections", key, fleet.ConnectionBudget)
+			case budget.Whole%1000 != 0:
+				check.fail("%s.whole: %v is not a whole number", key, entry.Whole)
+			case fleet.Terms.Linger < settings.ConnIdleTimeout: // idle connections of a stopped process stay open until the worker closes them
+				check.fail("linger: %v is under the time after which workers close idle connections, %v", fleet.Terms.Linger, settings.ConnIdleTimeout)
 			}
-			f.ConnectionBudget = name
+			fleet.ConnectionBudget = name
 		}
-		f.Budgets = append(f.Budgets, b)
-		if in.Counts == "connections" {
+		fleet.Budgets = append(fleet.Budgets, budget)
+		if entry.Counts == "connections" {
 			continue
 		}
-		if in.Counts == "repeats" {
-			r := &RepeatBudget{Budget: name, ShareMilli: milli(key+".share", in.Share), MaxSavedMilli: defaultSaved * 1000}
-			if in.Saved != nil {
-				r.MaxSavedMilli = milli(key+".saved", *in.Saved)
+		if entry.Counts == "repeats" {
+			repeats := &RepeatBudget{Budget: name, ShareMilli: toMilli(key+".share", entry.Share), MaxSavedMilli: defaultMaxSavedRepeats * 1000}
+			if entry.Saved != nil {
+				repeats.MaxSavedMilli = toMilli(key+".saved", *entry.Saved)
 			}
 			switch {
-			case in.Tenant != "":
-				c.fail("%s.tenant: a budget of repeats is no tenant's", key)
-			case f.Repeats != nil:
-				c.fail("%s.counts: %s counts repeats already", key, f.Repeats.Budget)
-			case r.ShareMilli > 1000:
-				c.fail("%s.share: %v is not from 0 to 1", key, in.Share)
+			case entry.Tenant != "":
+				check.fail("%s.tenant: a budget of repeats cannot belong to a tenant", key)
+			case fleet.Repeats != nil:
+				check.fail("%s.counts: budget %s already counts repeats", key, fleet.Repeats.Budget)
+			case repeats.ShareMilli > 1000:
+				check.fail("%s.share: %v is not from 0 to 1", key, entry.Share)
 			}
-			f.Repeats = r
+			fleet.Repeats = repeats
 			continue
 		}
-		if in.Share != 0 || in.Saved != nil {
-			c.fail("%s: share and saved are of budgets that count repeats", key)
+		if entry.Share != 0 || entry.Saved != nil {
+			check.fail("%s: share and saved are only allowed in a budget that counts repeats", key)
 		}
-		tenant, ok := names.Tenant[in.Tenant]
+		tenant, ok := names.Tenant[entry.Tenant]
 		if !ok {
-			c.fail("%s.tenant: no tenant %q", key, in.Tenant)
+			check.fail("%s.tenant: no tenant %q", key, entry.Tenant)
 			continue
 		}
-		if had, twice := f.Tenants[tenant]; twice {
-			c.fail("%s.tenant: %s has the budget %s", key, in.Tenant, had.Budget)
+		if existing, exists := fleet.Tenants[tenant]; exists {
+			check.fail("%s.tenant: %s already has the budget %s", key, entry.Tenant, existing.Budget)
 		}
-		if in.Counts != "" && in.Counts != "jobs" && in.Counts != "work" {
-			c.fail("%s.counts: %q is none of jobs, work, repeats, connections", key, in.Counts)
+		if entry.Counts != "" && entry.Counts != "jobs" && entry.Counts != "work" {
+			check.fail("%s.counts: %q is none of jobs, work, repeats, connections", key, entry.Counts)
 		}
-		f.Tenants[tenant] = TenantBudget{name, in.Counts == "work"}
+		fleet.Tenants[tenant] = TenantBudget{name, entry.Counts == "work"}
 	}
-	return f, c.err
+	return fleet, check.err
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -11,34 +11,34 @@
 	"tinroute.example/tinroute/balance"
 )
 
-func TestFleetFile(t *testing.T) {
+func TestParseFleet(t *testing.T) {
 	s := &balance.Settings{Classes: []balance.Class{{Deadline: 5 * time.Second}, {Deadline: 25 * time.Second}}}
 	names := &Names{Tenant: map[string]int{"argane-epargne": 3}}
 	data, err := os.ReadFile("../../deploy/fleet.toml")
 	require.NoError(t, err)
 	text := string(data)
-	f, err := ParseFleet(text, "n0", s, names)
+	fleet, err := ParseFleet(text, "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, 25*time.Second, f.Terms.Linger)
-	require.Equal(t, map[int]TenantBudget{3: {Budget: "argane"}}, f.Tenants)
-	require.EqualValues(t, 21000, f.Budgets[0].Whole)
-	require.EqualValues(t, 3000, f.Budgets[0].Parts["n0"].Floor)
-	require.Empty(t, f.VoterDir)
-	require.Nil(t, f.Repeats)
-	again, err := ParseFleet(text+"[budget.again]\ncounts = \"repeats\"\nwhole = 5\nburst = 16\nshare = 0.25\n", "n0", s, names)
+	require.Equal(t, 25*time.Second, fleet.Terms.Linger)
+	require.Equal(t, map[int]TenantBudget{3: {Budget: "argane"}}, fleet.Tenants)
+	require.EqualValues(t, 21000, fleet.Budgets[0].Whole)
+	require.EqualValues(t, 3000, fleet.Budgets[0].Parts["n0"].Floor)
+	require.Empty(t, fleet.VoterDir)
+	require.Nil(t, fleet.Repeats)
+	withRepeats, err := ParseFleet(text+"[budget.again]\ncounts = \"repeats\"\nwhole = 5\nburst = 16\nshare = 0.25\n", "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, &RepeatBudget{Budget: "again", ShareMilli: 250, MaxSavedMilli: 10_000}, again.Repeats)
+	require.Equal(t, &RepeatBudget{Budget: "again", ShareMilli: 250, MaxSavedMilli: 10_000}, withRepeats.Repeats)
 
-	each := text + "[budget.each]\ncounts = \"connections\"\nwhole = 12\n"
-	again, err = ParseFleet(each, "n0", s, names)
+	withConnections := text + "[budget.each]\ncounts = \"connections\"\nwhole = 12\n"
+	withRepeats, err = ParseFleet(withConnections, "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, "each", again.ConnectionBudget)
+	require.Equal(t, "each", withRepeats.ConnectionBudget)
 	for old, now := range map[string]string{"whole = 12": "whole = 1.5", "whole = 12\n": "whole = 12\nburst = 20\n"} {
-		_, err = ParseFleet(strings.Replace(each, old, now, 1), "n0", s, names)
+		_, err = ParseFleet(strings.Replace(withConnections, old, now, 1), "n0", s, names)
 		require.ErrorContains(t, err, "budget.each")
 	}
 	s.ConnIdleTimeout = time.Minute
-	_, err = ParseFleet(each, "n0", s, names)
+	_, err = ParseFleet(withConnections, "n0", s, names)
 	require.ErrorContains(t, err, "linger: 25s is under the time after which workers close idle connections, 1m0s")
 	s.ConnIdleTimeout = 0
 
--- a/internal/config/gearman.go
+++ b/internal/config/gearman.go
@@ -13,55 +13,56 @@
 	"tinroute.example/tinroute/internal/recovery"
 )
 
-// Defaults for what the second front's file leaves out.
+// Defaults for keys that the Gearman file omits.
 const (
-	defaultPerClient  = 64
-	defaultJobs       = 20_000
-	defaultBytes      = 64 << 20
-	defaultStoredJobs = 2_000_000
-	defaultStored     = 2 << 30
-	defaultOffers     = 8
-	defaultSends      = 64
-	defaultBackoff    = time.Second
-	defaultBackoffTop = 5 * time.Minute
-	defaultExpiry     = 24 * time.Hour
-	defaultWindow     = 64
-	defaultUnsent     = 2
-	defaultRate       = 500
-	defaultWait       = 50 * time.Millisecond
+	defaultMaxJobsPerConnection = 64
+	defaultMaxJobs              = 20_000
+	defaultMaxJobBytes          = 64 << 20
+	defaultMaxStoredJobs        = 2_000_000
+	defaultMaxStoredBytes       = 2 << 30
+	defaultMaxOffers            = 8
+	defaultMaxSends             = 64
+	defaultBackoff              = time.Second
+	defaultMaxBackoff           = 5 * time.Minute
+	defaultExpiry               = 24 * time.Hour
+	defaultPaceWindow           = 64
+	defaultMaxUnsent            = 2
+	defaultPaceRate             = 500
+	defaultForegroundWait       = 50 * time.Millisecond
 )
 
-// Store is where background jobs are kept.
+// Store configures the store of background jobs.
 type Store struct {
 	Path         string
 	MaxJobs      int
 	MaxBytes     int64
-	MaxFileBytes int64 // 0 for no bound
+	MaxFileBytes int64 // size limit of the store's file, 0 for none
 }
 
-// Gearman is the second front's file.
+// Gearman is the content of the Gearman file.
 type Gearman struct {
 	Listen         string
 	Discovery      string
-	Hooks          []string                    // script files, in the order they are asked
-	Functions      map[string]FunctionDefaults // one for each class, named as the class
-	MaxConnections int                         // clients' at once; 0 for the front's share of the platform's limit
-	AllowShutdown  bool                        // the text protocol may end the process
+	Hooks          []string                    // script files, in the order in which they are called
+	Functions      map[string]FunctionDefaults // by class name; every class is a function
+	MaxConnections int                         // maximum number of client connections; 0 for this server's share of the descriptors
+	AllowShutdown  bool                        // whether the text protocol's shutdown command ends the process
 	Limits         jobindex.Limits
-	Store          *Store // nil where background jobs are off
+	Store          *Store // nil if background jobs are disabled
 	Retry          recovery.Limits
 	Pace           recovery.PacerLimits
 }
 
-// FunctionDefaults holds what a Gearman job, which says nothing of these, is taken to ask for.
+// FunctionDefaults holds what the dispatcher assumes about the jobs of a Gearman function, since the
+// protocol has no fields for it.
 type FunctionDefaults struct {
-	Class    int
-	Deadline time.Duration // the class's where the file gives none
-	Tenant   int           // -1 for none
-	Cost     time.Duration // expected work, 0 for not known
+	Class    int           // index in the settings
+	Deadline time.Duration // the class's unless the file sets one
+	Tenant   int           // index in the settings, -1 for none
+	Cost     time.Duration // expected work, 0 if unknown
 }
 
-// LoadGearman reads and checks the second front's file against the settings.
+// LoadGearman reads the Gearman file and validates it against the settings.
 func LoadGearman(path string, s *balance.Settings, names *Names) (*Gearman, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -74,10 +75,10 @@
 	return g, nil
 }
 
-// ParseGearman reads the second front's file from its text.
+// ParseGearman reads and validates the text of the Gearman file.
 //
-//revive:disable-next-line:function-length one list of a file's keys, read from top to bottom
-func ParseGearman(text string, s *balance.Settings, names *Names) (*Gearman, error) {
+//revive:disable-next-line:function-length handles the keys of one file in sequence
+func ParseGearman(text string, settings *balance.Settings, names *Names) (*Gearman, error) {
 	var file struct {
 		Listen    string   `toml:"listen"`
 		Discovery string   `toml:"discovery"`
@@ -128,99 +129,101 @@
 	case file.Discovery == "":
 		return nil, fmt.Errorf("discovery: missing")
 	}
-	g := &Gearman{Listen: file.Listen, Discovery: file.Discovery, Hooks: file.Hooks, Functions: map[string]FunctionDefaults{},
+	result := &Gearman{Listen: file.Listen, Discovery: file.Discovery, Hooks: file.Hooks, Functions: map[string]FunctionDefaults{},
 		AllowShutdown: file.Shutdown, Limits: jobindex.Limits{PerFunction: map[string]int{}}}
-	c := checker{}
-	g.Limits.PerClient = int(c.count("limits.jobs_per_connection", file.Limits.PerClient, defaultPerClient, 4096))
+	check := validator{}
+	result.Limits.PerClient = int(check.count("limits.jobs_per_connection", file.Limits.PerClient, defaultMaxJobsPerConnection, 4096))
 	if file.Limits.Conns != nil {
-		g.MaxConnections = int(c.count("limits.connections", file.Limits.Conns, 0, 1_000_000))
-	}
-	g.Limits.Jobs = int(c.count("limits.jobs", file.Limits.Jobs, defaultJobs, 1<<30))
-	g.Limits.Bytes = int(c.count("limits.bytes", file.Limits.Bytes, defaultBytes, 1<<40))
-	g.Retry = recovery.Limits{MaxOffers: int(c.count("retry.offers", file.Retry.Offers, defaultOffers, 1000)),
-		MaxSends:    int(c.count("retry.sends", file.Retry.Sends, defaultSends, 10_000)),
-		BaseBackoff: c.time("retry.backoff", file.Retry.Backoff, defaultBackoff), MaxBackoff: c.time("retry.backoff_most", file.Retry.Most, defaultBackoffTop),
-		Expiry: c.time("retry.expiry", file.Retry.Expiry, defaultExpiry)}
-	if g.Retry.MaxBackoff < g.Retry.BaseBackoff {
-		c.fail("retry.backoff_most: %v is under retry.backoff", g.Retry.MaxBackoff)
-	}
-	g.Pace = recovery.PacerLimits{MaxWindow: int(c.count("pace.window", file.Pace.Window, defaultWindow, 4096)),
-		MaxUnsent:         int(c.count("pace.unsent", file.Pace.Unsent, defaultUnsent, 4096)),
-		Rate:              float64(c.count("pace.rate", file.Pace.Rate, defaultRate, 1_000_000)),
-		MaxForegroundWait: c.time("pace.foreground_wait", file.Pace.Wait, defaultWait)}
-	st := &Store{Path: file.Store.Path, MaxJobs: int(c.count("store.max_jobs", file.Store.MaxJobs, defaultStoredJobs, 1<<40)),
-		MaxBytes: c.count("store.max_bytes", file.Store.MaxBytes, defaultStored, 1<<50)}
+		result.MaxConnections = int(check.count("limits.connections", file.Limits.Conns, 0, 1_000_000))
+	}
+	result.Limits.Jobs = int(check.count("limits.jobs", file.Limits.Jobs, defaultMaxJobs, 1<<30))
+	result.Limits.Bytes = int(check.count("limits.bytes", file.Limits.Bytes, defaultMaxJobBytes, 1<<40))
+	result.Retry = recovery.Limits{MaxOffers: int(check.count("retry.offers", file.Retry.Offers, defaultMaxOffers, 1000)),
+		MaxSends:    int(check.count("retry.sends", file.Retry.Sends, defaultMaxSends, 10_000)),
+		BaseBackoff: check.duration("retry.backoff", file.Retry.Backoff, defaultBackoff), MaxBackoff: check.duration("retry.backoff_most", file.Retry.Most, defaultMaxBackoff),
+		Expiry: check.duration("retry.expiry", file.Retry.Expiry, defaultExpiry)}
+	if result.Retry.MaxBackoff < result.Retry.BaseBackoff {
+		check.fail("retry.backoff_most: %v is under retry.backoff", result.Retry.MaxBackoff)
+	}
+	result.Pace = recovery.PacerLimits{MaxWindow: int(check.count("pace.window", file.Pace.Window, defaultPaceWindow, 4096)),
+		MaxUnsent:         int(check.count("pace.unsent", file.Pace.Unsent, defaultMaxUnsent, 4096)),
+		Rate:              float64(check.count("pace.rate", file.Pace.Rate, defaultPaceRate, 1_000_000)),
+		MaxForegroundWait: check.duration("pace.foreground_wait", file.Pace.Wait, defaultForegroundWait)}
+	store := &Store{Path: file.Store.Path, MaxJobs: int(check.count("store.max_jobs", file.Store.MaxJobs, defaultMaxStoredJobs, 1<<40)),
+		MaxBytes: check.count("store.max_bytes", file.Store.MaxBytes, defaultMaxStoredBytes, 1<<50)}
 	if file.Store.MaxFile != nil {
-		st.MaxFileBytes = c.count("store.max_file_bytes", file.Store.MaxFile, 0, 1<<50)
+		store.MaxFileBytes = check.count("store.max_file_bytes", file.Store.MaxFile, 0, 1<<50)
 	}
 	switch {
-	case st.Path != "":
-		g.Store = st
+	case store.Path != "":
+		result.Store = store
 	case meta.IsDefined("store"):
-		c.fail("store.path: missing")
+		check.fail("store.path: missing")
 	}
-	if c.err != nil {
-		return nil, c.err
+	if check.err != nil {
+		return nil, check.err
 	}
-	for i, c := range s.Classes {
-		g.Functions[c.Name] = FunctionDefaults{Class: i, Deadline: c.Deadline, Tenant: -1}
+	for i, class := range settings.Classes {
+		result.Functions[class.Name] = FunctionDefaults{Class: i, Deadline: class.Deadline, Tenant: -1}
 	}
-	for name, f := range file.Function {
-		to, ok := g.Functions[name]
+	for name, function := range file.Function {
+		defaults, ok := result.Functions[name]
 		if !ok {
 			return nil, fmt.Errorf("function.%s: no such class", name)
 		}
-		for _, d := range []struct {
+		for _, field := range []struct {
 			key, text string
 			to        *time.Duration
-		}{{"deadline", f.Deadline, &to.Deadline}, {"cost", f.Cost, &to.Cost}} {
-			if d.text == "" {
+		}{{"deadline", function.Deadline, &defaults.Deadline}, {"cost", function.Cost, &defaults.Cost}} {
+			if field.text == "" {
 				continue
 			}
-			if *d.to, err = time.ParseDuration(d.text); err != nil || *d.to <= 0 {
-				return nil, fmt.Errorf("function.%s.%s: %q is not a time above 0", name, d.key, d.text)
+			if *field.to, err = time.ParseDuration(field.text); err != nil || *field.to <= 0 {
+				return nil, fmt.Errorf("function.%s.%s: %q is not a time above 0", name, field.key, field.text)
 			}
 		}
-		if f.Tenant != "" {
-			if to.Tenant, ok = names.Tenant[f.Tenant]; !ok {
-				return nil, fmt.Errorf("function.%s.tenant: no tenant %q", name, strings.TrimSpace(f.Tenant))
+		if function.Tenant != "" {
+			if defaults.Tenant, ok = names.Tenant[function.Tenant]; !ok {
+				return nil, fmt.Errorf("function.%s.tenant: no tenant %q", name, strings.TrimSpace(function.Tenant))
 			}
 		}
-		if f.MaxQueue < 0 {
-			return nil, fmt.Errorf("function.%s.maxqueue: %d is under 0", name, f.MaxQueue)
+		if function.MaxQueue < 0 {
+			return nil, fmt.Errorf("function.%s.maxqueue: %d is under 0", name, function.MaxQueue)
 		}
-		g.Limits.PerFunction[name] = f.MaxQueue
-		g.Functions[name] = to
+		result.Limits.PerFunction[name] = function.MaxQueue
+		result.Functions[name] = defaults
 	}
-	return g, nil
+	return result, nil
 }
 
-// checker reads values that may be left out, and keeps the first fault.
-type checker struct{ err error }
+// validator validates optional values and keeps the first error.
+type validator struct{ err error }
 
-func (c *checker) fail(format string, args ...any) {
-	if c.err == nil {
-		c.err = fmt.Errorf(format, args...)
+func (v *validator) fail(format string, args ...any) {
+	if v.err == nil {
+		v.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (c *checker) count(key string, v *int64, fallback, most int64) int64 {
-	if v == nil {
+// count returns *value, or fallback if value is nil. A value outside 1 to limit is an error.
+func (v *validator) count(key string, value *int64, fallback, limit int64) int64 {
+	if value == nil {
 		return fallback
 	}
-	if *v < 1 || *v > most {
-		c.fail("%s: %d is not from 1 to %d", key, *v, most)
+	if *value < 1 || *value > limit {
+		v.fail("%s: %d is not from 1 to %d", key, *value, limit)
 	}
-	return *v
+	return *value
 }
 
-func (c *checker) time(key, text string, fallback time.Duration) time.Duration {
+// duration parses a duration above 0, or returns fallback if text is empty.
+func (v *validator) duration(key, text string, fallback time.Duration) time.Duration {
 	if text == "" {
 		return fallback
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		c.fail("%s: %q is not a time above 0", key, text)
+		v.fail("%s: %q is not a time above 0", key, text)
 	}
 	return d
 }
--- a/internal/config/telemetry.go
+++ b/internal/config/telemetry.go
@@ -12,34 +12,34 @@
 	"tinroute.example/tinroute/internal/tailsampling"
 )
 
-// Defaults for what the environment and the telemetry file leave out.
+// Defaults for values that neither the environment nor the telemetry file sets.
 const (
-	defaultTelemetryBytes = 4 << 20
-	defaultTraceRate      = 20
-	defaultOTLPTimeout    = 10 * time.Second
-	defaultMetricInterval = 15 * time.Second
-	defaultRegionsTold    = 100
-	defaultTenantsTold    = 100
-	defaultSpoolBytes     = 64 << 20
-	defaultSpoolPace      = 20 * time.Millisecond
+	defaultSamplingBytes   = 4 << 20
+	defaultTraceRate       = 20
+	defaultOTLPTimeout     = 10 * time.Second
+	defaultMetricInterval  = 15 * time.Second
+	defaultMaxWorkerSeries = 100
+	defaultMaxTenantSeries = 100
+	defaultSpoolBytes      = 64 << 20
+	defaultSpoolInterval   = 20 * time.Millisecond
 )
 
-// Telemetry is what is exported, and where to.
+// Telemetry configures the export of traces, metrics and logs.
 type Telemetry struct {
-	Endpoints       map[otlp.Signal]otlp.Endpoint // those that are on
+	Endpoints       map[otlp.Signal]otlp.Endpoint // only the enabled signals
 	Sampling        tailsampling.Limits
 	MetricInterval  time.Duration // between two exports of metrics
-	MaxWorkerSeries int           // told apart in metrics; the others are "other"
-	MaxTenantSeries int
-	SpoolDir        string // a directory, empty for none
+	MaxWorkerSeries int           // workers with metric series of their own; the rest share the series "other"
+	MaxTenantSeries int           // likewise for tenants
+	SpoolDir        string        // directory for batches that the collector did not accept, empty for none
 	SpoolMaxBytes   int64
-	SpoolInterval   time.Duration
+	SpoolInterval   time.Duration // minimum time between two batches sent from the spool
 }
 
-// LoadTelemetry reads the telemetry file, where path names one, and the standard OTEL_ variables,
-// which win over it. It returns nil where no endpoint is given.
+// LoadTelemetry reads the telemetry file, unless path is empty, and the standard OTEL_ variables,
+// which override it. It returns nil if no endpoint is configured.
 //
-//revive:disable-next-line:function-length one list of a file's keys, read from top to bottom
+//revive:disable-next-line:function-length handles the keys of one file in sequence
 func LoadTelemetry(path string, getenv func(string) string) (*Telemetry, error) {
 	if getenv("OTEL_SDK_DISABLED") == "true" {
 		return nil, nil
@@ -79,102 +79,102 @@
 			return nil, fmt.Errorf("telemetry: %s: %s: unknown key", path, unknown[0])
 		}
 	}
-	c := checker{}
-	t := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, SpoolDir: file.Spool.Dir,
-		Sampling: tailsampling.Limits{Bytes: c.count("sampling.bytes", file.Sampling.Bytes, defaultTelemetryBytes, 1<<32),
-			Rate: float64(c.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
-		MetricInterval:  c.time("metric_interval", file.Interval, defaultMetricInterval),
-		MaxWorkerSeries: int(c.count("regions", file.Regions, defaultRegionsTold, 1900)), MaxTenantSeries: int(c.count("tenants", file.Tenants, defaultTenantsTold, 1900)),
-		SpoolMaxBytes: c.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolInterval: c.time("spool.pace", file.Spool.Pace, defaultSpoolPace)}
+	check := validator{}
+	result := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, SpoolDir: file.Spool.Dir,
+		Sampling: tailsampling.Limits{Bytes: check.count("sampling.bytes", file.Sampling.Bytes, defaultSamplingBytes, 1<<32),
+			Rate: float64(check.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
+		MetricInterval:  check.duration("metric_interval", file.Interval, defaultMetricInterval),
+		MaxWorkerSeries: int(check.count("regions", file.Regions, defaultMaxWorkerSeries, 1900)), MaxTenantSeries: int(check.count("tenants", file.Tenants, defaultMaxTenantSeries, 1900)),
+		SpoolMaxBytes: check.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolInterval: check.duration("spool.pace", file.Spool.Pace, defaultSpoolInterval)}
 	if file.Sampling.Slow != "" {
-		t.Sampling.Slow = c.time("sampling.slow", file.Sampling.Slow, 0)
+		result.Sampling.Slow = check.duration("sampling.slow", file.Sampling.Slow, 0)
 	}
-	on := map[otlp.Signal]*bool{otlp.Traces: file.Traces, otlp.Metrics: file.Metrics, otlp.Logs: file.Logs}
-	for s := otlp.Traces; s <= otlp.Logs; s++ {
-		// A variable of one signal wins over that of all, and that over the file.
+	enabled := map[otlp.Signal]*bool{otlp.Traces: file.Traces, otlp.Metrics: file.Metrics, otlp.Logs: file.Logs}
+	for signal := otlp.Traces; signal <= otlp.Logs; signal++ {
+		// A variable for one signal overrides the one for all signals, which overrides the file.
 		env := func(key string) (value, name string) {
-			if v := getenv("OTEL_EXPORTER_OTLP_" + strings.ToUpper(s.String()) + "_" + key); v != "" {
-				return v, "OTEL_EXPORTER_OTLP_" + strings.ToUpper(s.String()) + "_" + key
+			if v := getenv("OTEL_EXPORTER_OTLP_" + strings.ToUpper(signal.String()) + "_" + key); v != "" {
+				return v, "OTEL_EXPORTER_OTLP_" + strings.ToUpper(signal.String()) + "_" + key
 			}
 			return getenv("OTEL_EXPORTER_OTLP_" + key), "OTEL_EXPORTER_OTLP_" + key
 		}
-		first := func(key, filed, filedKey string) (value, name string) {
+		lookup := func(key, fromFile, fileKey string) (value, name string) {
 			if v, name := env(key); v != "" {
 				return v, name
 			}
-			return filed, filedKey
+			return fromFile, fileKey
 		}
-		if exporter := getenv("OTEL_" + strings.ToUpper(s.String()) + "_EXPORTER"); exporter == "none" || on[s] != nil && !*on[s] {
+		if exporter := getenv("OTEL_" + strings.ToUpper(signal.String()) + "_EXPORTER"); exporter == "none" || enabled[signal] != nil && !*enabled[signal] {
 			continue
 		} else if exporter != "" && exporter != "otlp" {
-			c.fail("OTEL_%s_EXPORTER: %q is not served, only otlp and none", strings.ToUpper(s.String()), exporter)
+			check.fail("OTEL_%s_EXPORTER: %q is not supported; use otlp or none", strings.ToUpper(signal.String()), exporter)
 		}
-		raw, name := first("ENDPOINT", file.Endpoint, "endpoint")
-		if raw == "" {
+		rawURL, name := lookup("ENDPOINT", file.Endpoint, "endpoint")
+		if rawURL == "" {
 			continue
 		}
-		e := otlp.Endpoint{Headers: map[string]string{}, Timeout: defaultOTLPTimeout}
-		protocol, key := first("PROTOCOL", file.Protocol, "protocol")
+		endpoint := otlp.Endpoint{Headers: map[string]string{}, Timeout: defaultOTLPTimeout}
+		protocol, key := lookup("PROTOCOL", file.Protocol, "protocol")
 		switch protocol {
 		case "grpc":
-			e.GRPC = true
+			endpoint.GRPC = true
 		case "", "http/protobuf":
 		default:
-			c.fail("%s: %q is not served, only http/protobuf and grpc", key, protocol)
+			check.fail("%s: %q is not supported; use http/protobuf or grpc", key, protocol)
 		}
-		u, err := url.Parse(raw)
-		if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			c.fail("%s: %q is not an http or https URL", name, raw)
+		parsed, err := url.Parse(rawURL)
+		if err != nil || parsed.Host == "" || parsed.Scheme != "http" && parsed.Scheme != "https" {
+			check.fail("%s: %q is not an http or https URL", name, rawURL)
 			continue
 		}
-		if e.URL = raw; !e.GRPC && !strings.Contains(name, "_"+strings.ToUpper(s.String())+"_") { // of all signals: each has its path
-			e.URL = strings.TrimSuffix(raw, "/") + "/v1/" + s.String()
+		if endpoint.URL = rawURL; !endpoint.GRPC && !strings.Contains(name, "_"+strings.ToUpper(signal.String())+"_") { // an endpoint for all signals: append the signal's path
+			endpoint.URL = strings.TrimSuffix(rawURL, "/") + "/v1/" + signal.String()
 		}
-		compression, key := first("COMPRESSION", file.Compression, "compression")
+		compression, key := lookup("COMPRESSION", file.Compression, "compression")
 		switch compression {
 		case "gzip":
-			e.Gzip = true
+			endpoint.Gzip = true
 		case "", "none":
 		default:
-			c.fail("%s: %q is neither gzip nor none", key, compression)
+			check.fail("%s: %q is neither gzip nor none", key, compression)
 		}
 		for k, v := range file.Headers {
-			e.Headers[k] = v
+			endpoint.Headers[k] = v
 		}
 		if text, key := env("HEADERS"); text != "" {
 			for _, pair := range strings.Split(text, ",") {
 				k, v, ok := strings.Cut(pair, "=")
 				v, err := url.PathUnescape(strings.TrimSpace(v))
 				if k = strings.TrimSpace(k); !ok || k == "" || err != nil {
-					c.fail("%s: a pair is not key=value", key) // its text may be a secret
+					check.fail("%s: a header is not of the form key=value", key) // without its text, which may be a secret
 				}
-				e.Headers[k] = v
+				endpoint.Headers[k] = v
 			}
 		}
-		if text, key := env("TIMEOUT"); text != "" { // milliseconds, by the specification
-			e.Timeout = c.time(key, text+"ms", 0)
+		if text, key := env("TIMEOUT"); text != "" { // in milliseconds, as OpenTelemetry specifies
+			endpoint.Timeout = check.duration(key, text+"ms", 0)
 		} else {
-			e.Timeout = c.time("timeout", file.Timeout, defaultOTLPTimeout)
+			endpoint.Timeout = check.duration("timeout", file.Timeout, defaultOTLPTimeout)
 		}
-		e.CA, _ = first("CERTIFICATE", file.CA, "")
-		e.Cert, _ = first("CLIENT_CERTIFICATE", file.Cert, "")
-		e.Key, key = first("CLIENT_KEY", file.Key, "client_key")
-		if (e.Cert == "") != (e.Key == "") {
-			c.fail("%s: a client certificate and its key go together", key)
+		endpoint.CA, _ = lookup("CERTIFICATE", file.CA, "")
+		endpoint.Cert, _ = lookup("CLIENT_CERTIFICATE", file.Cert, "")
+		endpoint.Key, key = lookup("CLIENT_KEY", file.Key, "client_key")
+		if (endpoint.Cert == "") != (endpoint.Key == "") {
+			check.fail("%s: client certificate and key must be set together", key)
 		}
-		if _, err := e.TLS(); err != nil {
-			c.fail("%s: %v", "certificate", err)
+		if _, err := endpoint.TLS(); err != nil {
+			check.fail("%s: %v", "certificate", err)
 		}
-		t.Endpoints[s] = e
+		result.Endpoints[signal] = endpoint
 	}
-	if c.err != nil {
+	if check.err != nil {
 		if path != "" {
-			return nil, fmt.Errorf("telemetry: %s: %w", path, c.err)
+			return nil, fmt.Errorf("telemetry: %s: %w", path, check.err)
 		}
-		return nil, fmt.Errorf("telemetry: %w", c.err)
+		return nil, fmt.Errorf("telemetry: %w", check.err)
 	}
-	if len(t.Endpoints) == 0 {
+	if len(result.Endpoints) == 0 {
 		return nil, nil
 	}
-	return t, nil
+	return result, nil
 }
--- a/internal/daemon/coalesce_test.go
+++ b/internal/daemon/coalesce_test.go
@@ -16,24 +16,24 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// Many clients on one unique id, some of whom never read, are one task at a worker. All that
-// read get the one answer, and the core is not held up by the others.
-func TestManyClientsOnOneJob(t *testing.T) {
+// Many clients that submit one unique id share one attempt at a worker, even if some of them never
+// read. All that read get the answer, and the others do not block the core.
+func TestManyClientsShareOneJob(t *testing.T) {
 	clients := 10_000
 	if testing.Short() {
 		clients = 1000
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, &memory{}, &gearmanWire{}, true)
-		w.most = 2 * clients
-		w.workers["a"] = newWorker(w, "a", "0")
-		w.launch(nil)
-		defer w.finish()
+		s := newScenario(t, &pipeNetwork{}, &gearmanProtocol{}, true)
+		s.maxClientConns = 2 * clients
+		s.workers["a"] = newFakeWorker(s, "a", "0")
+		s.start(nil)
+		defer s.finish()
 		var created, answered atomic.Int64
 		var wg sync.WaitGroup
 		var conns []net.Conn
 		for i := range clients {
-			c, err := w.net.Dial(context.Background(), "tcp", "gearman")
+			c, err := s.net.Dial(context.Background(), "tcp", "gearman")
 			require.NoError(t, err)
 			conns = append(conns, c)
 			go func() {
@@ -54,34 +54,35 @@
 				})
 			}()
 		}
-		w.line("expect a task same")
+		s.runLine("expect a task same")
 		synctest.Wait()
 		require.EqualValues(t, clients-clients/100, created.Load())
 		begin := time.Now()
-		w.line("send a done same")
+		s.runLine("send a done same")
 		synctest.Wait()
 		require.EqualValues(t, clients-clients/100, answered.Load())
-		require.Less(t, time.Since(begin), time.Second, "slow readers hold no one up")
-		w.line("expect none")
+		require.Less(t, time.Since(begin), time.Second, "clients that do not read delay the others")
+		s.runLine("expect none")
 		for _, c := range conns {
 			_ = c.Close()
 		}
 	})
 }
 
-// BenchmarkCoalescing is a job with so many waiters, from its submission to the last answer.
+// BenchmarkCoalescing measures a job with a number of waiting clients, from its submission to the
+// last answer.
 func BenchmarkCoalescing(b *testing.B) {
 	for _, waiters := range []int{1, 1000} {
 		b.Run(fmt.Sprint(waiters), func(b *testing.B) {
 			t := &testing.T{}
-			w := newWorld(t, &memory{}, &gearmanWire{}, false)
-			w.most = 2 * waiters
-			w.workers["a"] = newWorker(w, "a", "0")
-			w.launch(nil)
+			s := newScenario(t, &pipeNetwork{}, &gearmanProtocol{}, false)
+			s.maxClientConns = 2 * waiters
+			s.workers["a"] = newFakeWorker(s, "a", "0")
+			s.start(nil)
 			conns := make([]net.Conn, waiters)
 			framers := make([]link.Framer[gearman.Packet], waiters)
 			for i := range conns {
-				conns[i], _ = w.net.Dial(context.Background(), "tcp", "gearman")
+				conns[i], _ = s.net.Dial(context.Background(), "tcp", "gearman")
 				framers[i] = gearman.NewResponseFramer()
 			}
 			b.ReportAllocs()
@@ -101,8 +102,8 @@
 					})
 				}
 				joined.Wait()
-				w.line("expect a task " + id)
-				w.line("send a done " + id)
+				s.runLine("expect a task " + id)
+				s.runLine("send a done " + id)
 				done.Wait()
 			}
 		})
--- a/internal/daemon/conform_test.go
+++ b/internal/daemon/conformance_test.go
@@ -14,15 +14,15 @@
 	"tinroute.example/tinroute/internal/lab/conform"
 )
 
-// scripted hands the connections to its workers to a player, who answers on them.
-type scripted struct {
-	gearmanWire
+// scriptedProtocol passes the connections to its workers to a conformance player, which answers on them.
+type scriptedProtocol struct {
+	gearmanProtocol
 	conns chan net.Conn
 }
 
-func (s *scripted) serve(_ *worker, c net.Conn) { s.conns <- c }
+func (s *scriptedProtocol) serveWorker(_ *fakeWorker, c net.Conn) { s.conns <- c }
 
-// The conformance suite, both sides, against the daemon's Gearman front.
+// Runs the conformance suite against the daemon's Gearman server, with the suite as clients and workers.
 func TestConformance(t *testing.T) {
 	cases, err := conform.Cases()
 	require.NoError(t, err)
@@ -30,20 +30,20 @@
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wr := &scripted{conns: make(chan net.Conn, 64)}
-				w := newWorld(t, &memory{}, wr, true)
+				proto := &scriptedProtocol{conns: make(chan net.Conn, 64)}
+				s := newScenario(t, &pipeNetwork{}, proto, true)
 				if c.Needs("store") {
-					w.store = filepath.Join(t.TempDir(), "jobs")
+					s.storeFile = filepath.Join(t.TempDir(), "jobs")
 				}
-				w.workers["a"] = newWorker(w, "a", "0")
-				w.launch(nil)
-				defer w.finish()
+				s.workers["a"] = newFakeWorker(s, "a", "0")
+				s.start(nil)
+				defer s.finish()
 				p := conform.Player{Wait: 3 * time.Second,
 					Vars: conform.Vars{"$f": "price-read", "$soon": strconv.FormatInt(time.Now().Add(2*time.Second).Unix(), 10)},
-					Dial: func(ctx context.Context) (net.Conn, error) { return w.net.Dial(ctx, "tcp", wr.address()) },
+					Dial: func(ctx context.Context) (net.Conn, error) { return s.net.Dial(ctx, "tcp", proto.address()) },
 					Accept: func(ctx context.Context, _ string) (net.Conn, error) {
 						select {
-						case c := <-wr.conns:
+						case c := <-proto.conns:
 							return c, nil
 						case <-ctx.Done():
 							return nil, ctx.Err()
@@ -55,8 +55,8 @@
 	}
 }
 
-// A suite that cannot fail would show nothing: each of these lines is wrong.
-func TestConformanceFails(t *testing.T) {
+// Each of these lines is wrong and has to fail, to show that the suite detects violations.
+func TestConformanceDetectsViolations(t *testing.T) {
 	for _, lines := range [][]string{
 		{"send 1 ECHO_REQ a", "expect 1 ECHO_RES b"},
 		{"send 1 ECHO_REQ a", "expect 1 nothing"},
@@ -66,10 +66,10 @@
 		{"send 1 BREW"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, &memory{}, &gearmanWire{}, true)
-			w.launch(nil)
-			defer w.finish()
-			p := conform.Player{Wait: time.Second, Dial: func(ctx context.Context) (net.Conn, error) { return w.net.Dial(ctx, "tcp", "gearman") }}
+			s := newScenario(t, &pipeNetwork{}, &gearmanProtocol{}, true)
+			s.start(nil)
+			defer s.finish()
+			p := conform.Player{Wait: time.Second, Dial: func(ctx context.Context) (net.Conn, error) { return s.net.Dial(ctx, "tcp", "gearman") }}
 			require.Error(t, p.Play(t.Context(), conform.Case{Lines: lines}), "%q", lines)
 		})
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,4 @@
-// Package daemon puts a dispatcher together from its configuration and runs it until it is
-// told to end.
+// Package daemon assembles a dispatcher from its configuration and runs it until it is stopped.
 package daemon
 
 import (
@@ -28,59 +27,61 @@
 )
 
 const (
-	// Some descriptors are kept for discovery, the listeners, standard streams and
-	// connections that are being closed.
-	reserve     = 48
-	mostSockets = 1024
-	// terminalShare of the others is for terminals and call-backs, the rest for workers.
-	terminalShare = 0.6
-	// memoryShare of the limit is where the collector begins to work hard.
-	memoryShare = 0.75
-	// The platform kills a process that it has told to end no earlier than the longest
-	// deadline, taken as longestWait where it is longer, plus killPast after that, and it does
-	// not ask for what came after killPast and is unanswered then. Answers are out beforeKill
-	// ahead of it, and clients are sent away early enough for what they ask last to be served.
-	longestWait = 3 * time.Second
-	killPast    = 700 * time.Millisecond
-	beforeKill  = 200 * time.Millisecond
-	lastAsked   = 700 * time.Millisecond
-	// lastWords is how long cancels of losers may take to leave at the end.
-	lastWords = 50 * time.Millisecond
+	// reservedSockets is the number of descriptors kept for discovery, the listeners, the standard
+	// streams and connections that are being closed.
+	reservedSockets = 48
+	maxSockets      = 1024
+	// clientSocketShare is the part of the other descriptors that is for clients and the workers'
+	// callbacks; the rest is for connections to workers.
+	clientSocketShare = 0.6
+	// gcMemoryShare is the part of the memory limit from which the garbage collector runs harder.
+	gcMemoryShare = 0.75
+	// After asking a process to stop, the platform waits at least for the longest deadline (capped
+	// at maxKillWait) plus killGrace before it kills the process. A request that arrives more than
+	// killGrace after the order to stop may remain unanswered at the kill. All answers are sent
+	// at least killMargin before the kill, and clients are disconnected lastRequestTime before
+	// that, so that their last requests can still be served.
+	maxKillWait     = 3 * time.Second
+	killGrace       = 700 * time.Millisecond
+	killMargin      = 200 * time.Millisecond
+	lastRequestTime = 700 * time.Millisecond
+	// cancelFlushTime is the time allowed at the end for sending cancels of redundant attempts.
+	cancelFlushTime = 50 * time.Millisecond
 )
 
-// Daemon is a dispatcher that has not been started.
+// Daemon configures a dispatcher process, which Run starts.
 type Daemon struct {
 	Config        *config.Config
-	Gearman       *config.Gearman // nil where the second front is off
+	Gearman       *config.Gearman // nil disables the Gearman server
 	Log           *slog.Logger
-	ReloadSignals <-chan os.Signal                                                  // each asks for a reload; none where nil
-	ReadFiles     func() (Files, error)                                             // reads the files again, for a reload
-	Now           func() time.Time                                                  // the system's clock, time.Now where nil
-	Telemetry     *config.Telemetry                                                 // nil where it is off
-	Fleet         *config.Fleet                                                     // nil where it belongs to none
-	Dial          func(ctx context.Context, network, addr string) (net.Conn, error) // a net.Dialer's where nil
-	Listen        func(network, addr string) (net.Listener, error)                  // link.Listen where nil
-	HandoverDir   string                                                            // the folder shared with a successor, os.TempDir() where empty
+	ReloadSignals <-chan os.Signal                                                  // each signal triggers a reload; nil for none
+	ReadFiles     func() (Files, error)                                             // reads the files again for a reload
+	Now           func() time.Time                                                  // wall clock; time.Now if nil
+	Telemetry     *config.Telemetry                                                 // nil disables telemetry
+	Fleet         *config.Fleet                                                     // nil for a dispatcher without a fleet
+	Dial          func(ctx context.Context, network, addr string) (net.Conn, error) // a net.Dialer's if nil
+	Listen        func(network, addr string) (net.Listener, error)                  // link.Listen if nil
+	HandoverDir   string                                                            // directory shared with a successor; os.TempDir() if empty
 
-	hand  *override.Set // workers out by hand, where there is an operators' door
-	cores []*dispatch.Core
-	fleet *fleet.Part
+	overrides *override.Set // detached workers; nil without an admin server
+	cores     []*dispatch.Core
+	fleet     *fleet.Part
 }
 
-// Files are the settings files that a reload takes up.
+// Files are the settings files that a reload reads again.
 type Files struct {
 	Config  *config.Config
 	Gearman *config.Gearman
 	Fleet   *config.Fleet
 }
 
-// front is one protocol's side, with a core of its own for its own fleet.
-type front interface {
+// clientServer is a server for the clients of one protocol, with a core and workers of its own.
+type clientServer interface {
 	Serve(net.Listener) error
 	Drain(context.Context, link.DrainSchedule)
 }
 
-// Run serves until the context ends, then drains.
+// Run serves until ctx is canceled, then drains.
 func (d *Daemon) Run(ctx context.Context) error {
 	if d.Dial == nil {
 		d.Dial = new(net.Dialer).DialContext
@@ -89,93 +90,93 @@
 		d.Listen = link.Listen
 	}
 	runtime.GOMAXPROCS(max(1, int(d.Config.Limits.Cores)))
-	debug.SetMemoryLimit(int64(memoryShare * float64(d.Config.Limits.MemoryMB<<20)))
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	r := &running{Daemon: d, end: end, failed: make(chan error, 2)}
-	r.inner, r.stop = context.WithCancel(context.Background())
-	defer r.stop()
-	defer r.close()
-	if err := r.begin(); err != nil {
+	debug.SetMemoryLimit(int64(gcMemoryShare * float64(d.Config.Limits.MemoryMB<<20)))
+	ctx, shutdown := context.WithCancel(ctx)
+	defer shutdown()
+	inst := &instance{Daemon: d, shutdown: shutdown, serveErrs: make(chan error, 2)}
+	inst.runCtx, inst.cancelRun = context.WithCancel(context.Background())
+	defer inst.cancelRun()
+	defer inst.closeComponents()
+	if err := inst.startComponents(); err != nil {
 		return err
 	}
-	go d.reload(r.inner, r.table, r.second)
+	go d.reloadOnSignal(inst.runCtx, inst.httpDiscovery, inst.gearmanDiscovery)
 	select {
-	case err := <-r.failed:
+	case err := <-inst.serveErrs:
 		return err
 	case <-ctx.Done():
 	}
-	within := d.untilKilled() - beforeKill
-	before := d.answered()
+	drainTime := d.timeUntilKill() - killMargin
+	answersBefore := d.answerCounts()
 	var drained sync.WaitGroup
-	for _, f := range r.fronts {
+	for _, server := range inst.servers {
 		drained.Go(func() {
-			f.Drain(r.inner, link.DrainSchedule{FullDeadlineFor: killPast - beforeKill, KeepClientsFor: within - lastAsked, AnswerWithin: within})
+			server.Drain(inst.runCtx, link.DrainSchedule{FullDeadlineFor: killGrace - killMargin, KeepClientsFor: drainTime - lastRequestTime, AnswerWithin: drainTime})
 		})
 	}
 	drained.Wait()
-	d.Log.Info("answered while draining", "classes", d.answeredSince(before))
-	if r.spans != nil {
-		r.spans.Flush() // while the cores can still be asked
+	d.Log.Info("answered while draining", "classes", d.formatAnswersSince(answersBefore))
+	if inst.exporter != nil {
+		inst.exporter.Flush() // while the cores still run and can be read
 	}
-	time.Sleep(lastWords)
+	time.Sleep(cancelFlushTime)
 	return nil
 }
 
-// answered counts the final answers of every core, by class.
-func (d *Daemon) answered() []dispatch.ClassCounts {
-	all := make([]dispatch.ClassCounts, len(d.Config.Settings.Classes))
-	for _, c := range d.cores {
-		for i, k := range c.Counts() {
-			all[i].Served += k.Served
-			all[i].Refused += k.Refused
-			all[i].Failed += k.Failed
+// answerCounts returns the number of final answers of all cores, by class.
+func (d *Daemon) answerCounts() []dispatch.ClassCounts {
+	totals := make([]dispatch.ClassCounts, len(d.Config.Settings.Classes))
+	for _, core := range d.cores {
+		for i, counts := range core.Counts() {
+			totals[i].Served += counts.Served
+			totals[i].Refused += counts.Refused
+			totals[i].Failed += counts.Failed
 		}
 	}
-	return all
+	return totals
 }
 
-// answeredSince tells, for each class, how many were served, refused and failed since the counts
-// given.
-func (d *Daemon) answeredSince(before []dispatch.ClassCounts) string {
+// formatAnswersSince formats, for each class, how many requests were served, refused and failed since the
+// given counts.
+func (d *Daemon) formatAnswersSince(before []dispatch.ClassCounts) string {
 	var b strings.Builder
-	for i, k := range d.answered() {
+	for i, counts := range d.answerCounts() {
 		fmt.Fprintf(&b, "%s:%d/%d/%d ", d.Config.Settings.Classes[i].Name,
-			k.Served-before[i].Served, k.Refused-before[i].Refused, k.Failed-before[i].Failed)
+			counts.Served-before[i].Served, counts.Refused-before[i].Refused, counts.Failed-before[i].Failed)
 	}
 	return strings.TrimSpace(b.String())
 }
 
-// untilKilled is how long the process has at least from the word to end.
-func (d *Daemon) untilKilled() time.Duration {
+// timeUntilKill returns the minimum time between the order to stop and the kill.
+func (d *Daemon) timeUntilKill() time.Duration {
 	deadline := time.Duration(0)
 	for _, c := range d.Config.Settings.Classes {
 		deadline = max(deadline, c.Deadline)
 	}
-	return min(deadline, longestWait) + killPast
+	return min(deadline, maxKillWait) + killGrace
 }
 
-// core makes a front's core, with the scripts and the telemetry that watch it.
-func (d *Daemon) core(ctx context.Context, front string, files []string, spans *telemetry.Telemetry,
-	log *slog.Logger, watching ...dispatch.Observer) (*dispatch.Core, error) {
-	o := dispatch.Options{Settings: *d.Config.Settings, Log: log, Observers: watching, Overrides: d.hand}
-	hooks, err := hook.Load(files, d.Config.Settings, d.Config.Names, log)
+// newCore creates the core of a client server, with its scripts and telemetry attached.
+func (d *Daemon) newCore(ctx context.Context, name string, hookFiles []string, exporter *telemetry.Telemetry,
+	log *slog.Logger, observers ...dispatch.Observer) (*dispatch.Core, error) {
+	options := dispatch.Options{Settings: *d.Config.Settings, Log: log, Observers: observers, Overrides: d.overrides}
+	hooks, err := hook.Load(hookFiles, d.Config.Settings, d.Config.Names, log)
 	if err != nil {
 		return nil, err
 	}
 	if d.fleet != nil {
-		o.Shares = d.fleet
+		options.Shares = d.fleet
 	}
 	if hooks != nil {
 		go hooks.Run(ctx)
-		o.Hook, o.Observers = hooks, append(o.Observers, hooks)
+		options.Hook, options.Observers = hooks, append(options.Observers, hooks)
 	}
-	if spans != nil {
-		o.Observers = append(o.Observers, spans.Observe(front, d.Config.Settings))
+	if exporter != nil {
+		options.Observers = append(options.Observers, exporter.Observe(name, d.Config.Settings))
 	}
-	core, err := dispatch.New(o)
-	if err == nil && spans != nil {
-		err = spans.Watch(front, core)
+	core, err := dispatch.New(options)
+	if err == nil && exporter != nil {
+		err = exporter.Watch(name, core)
 	}
 	if err == nil {
 		d.cores = append(d.cores, core)
@@ -183,80 +184,81 @@
 	return core, err
 }
 
-// background opens the job store, if there is one, and gives the Gearman front what it needs to
-// run stored jobs. Where the store cannot be opened the front serves on without. The functions
-// that it returns begin with the stored jobs, and close the store once ctx has ended.
-func (d *Daemon) background(ctx context.Context, o *gearman.Options, log *slog.Logger) (run, shut func()) {
-	g := d.Gearman
-	if g.Store == nil {
+// openJobStore opens the job store, if one is configured, and sets the options with which the Gearman
+// server runs stored jobs. If the store cannot be opened, the server runs without background jobs.
+// The returned startJobs starts the stored jobs; closeStore closes the store after ctx has been canceled.
+func (d *Daemon) openJobStore(ctx context.Context, options *gearman.Options, log *slog.Logger) (startJobs, closeStore func()) {
+	cfg := d.Gearman
+	if cfg.Store == nil {
 		return func() {}, func() {}
 	}
 	clock := dispatch.NewClock()
-	store, err := jobstore.Open(jobstore.Options{Path: g.Store.Path, MaxJobs: g.Store.MaxJobs, MaxBytes: g.Store.MaxBytes,
-		MaxFile: g.Store.MaxFileBytes, Now: clock.Now, Log: log})
+	store, err := jobstore.Open(jobstore.Options{Path: cfg.Store.Path, MaxJobs: cfg.Store.MaxJobs, MaxBytes: cfg.Store.MaxBytes,
+		MaxFile: cfg.Store.MaxFileBytes, Now: clock.Now, Log: log})
 	if err != nil {
-		log.Error("job store not opened", "file", g.Store.Path, "err", err)
-		o.StoreErr = err
+		log.Error("cannot open the job store; background jobs are unavailable", "file", cfg.Store.Path, "err", err)
+		options.StoreErr = err
 		return func() {}, func() {}
 	}
-	c := store.Counts()
-	log.Info("job store opened", "file", g.Store.Path, "jobs", c.Jobs-c.Dead, "dead", c.Dead, "damaged", c.Damaged, "bytes", c.File)
+	counts := store.Counts()
+	log.Info("job store opened", "file", cfg.Store.Path, "jobs", counts.Jobs-counts.Dead, "dead", counts.Dead, "damaged", counts.Damaged, "bytes", counts.File)
 	if store.ClockBack() {
-		log.Warn("clock set back", "file", g.Store.Path)
+		log.Warn("system clock was set back", "file", cfg.Store.Path)
 	}
-	var keeper *background.Scheduler
-	o.NewScheduler = func(f background.JobServer) *background.Scheduler {
-		keeper = background.New(background.Options{Store: store, RetryLimits: g.Retry, PacerLimits: g.Pace, Seed: d.Config.Settings.Seed,
+	var scheduler *background.Scheduler
+	options.NewScheduler = func(f background.JobServer) *background.Scheduler {
+		scheduler = background.New(background.Options{Store: store, RetryLimits: cfg.Retry, PacerLimits: cfg.Pace, Seed: d.Config.Settings.Seed,
 			Clock: clock, WallClock: d.Now, Log: log}, f)
-		return keeper
+		return scheduler
 	}
-	return func() { go keeper.Run(ctx) }, func() {
-		keeper.Wait()
+	return func() { go scheduler.Run(ctx) }, func() {
+		scheduler.Wait()
 		if err := store.Close(); err != nil {
-			log.Error("job store not closed", "err", err)
+			log.Error("cannot close the job store", "err", err)
 		}
 	}
 }
 
-// start brings a core and its drivers to life, beginning with discovery as known.
-func (d *Daemon) start(ctx context.Context, core *dispatch.Core, workers interface {
+// startCore runs a core, the connections to its workers and its discovery client, which begins with
+// knownWorkers if that is not nil.
+func (d *Daemon) startCore(ctx context.Context, core *dispatch.Core, workers interface {
 	dispatch.Driver
 	Run(context.Context)
-}, discovery string, known []byte) (*platform.DiscoveryClient, error) {
-	table := platform.NewDiscoveryClient(core, d.Log, d.Config.Names, d.Dial, discovery)
-	core.Connect(workers, table)
+}, discoveryAddr string, knownWorkers []byte) (*platform.DiscoveryClient, error) {
+	discoveryClient := platform.NewDiscoveryClient(core, d.Log, d.Config.Names, d.Dial, discoveryAddr)
+	core.Connect(workers, discoveryClient)
 	go core.Run(ctx)
 	go workers.Run(ctx)
-	if err := table.LoadCached(known); err != nil {
+	if err := discoveryClient.LoadCached(knownWorkers); err != nil {
 		return nil, err
 	}
-	go table.Run(ctx)
-	return table, nil
+	go discoveryClient.Run(ctx)
+	return discoveryClient, nil
 }
 
-// reload reads the files again whenever it is told to, until the last answer: also while
-// the daemon drains, since what it has taken may need a worker that only the new discovery
-// knows. It takes up where discovery is; all else holds until a restart. A file that is
-// faulty changes nothing.
-func (d *Daemon) reload(ctx context.Context, table, second *platform.DiscoveryClient) {
+// reloadOnSignal reads the files again at each reload signal, until ctx is canceled after the last answer.
+// It does so while the daemon drains too, since an open request may need a worker that only the new
+// discovery server lists. Only the discovery addresses and the fleet file are applied; all other
+// settings require a restart. Files with an error change nothing.
+func (d *Daemon) reloadOnSignal(ctx context.Context, httpDiscovery, gearmanDiscovery *platform.DiscoveryClient) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-d.ReloadSignals:
 		}
-		f, err := d.ReadFiles()
+		files, err := d.ReadFiles()
 		if err != nil {
-			d.Log.Error("not reloaded", "err", err)
+			d.Log.Error("cannot reload the settings; keeping the current ones", "err", err)
 			continue
 		}
-		d.Log.Info("reloaded", "discovery", f.Config.Discovery)
-		table.SetAddr(f.Config.Discovery)
-		if second != nil && f.Gearman != nil {
-			second.SetAddr(f.Gearman.Discovery)
+		d.Log.Info("settings reloaded", "discovery", files.Config.Discovery)
+		httpDiscovery.SetAddr(files.Config.Discovery)
+		if gearmanDiscovery != nil && files.Gearman != nil {
+			gearmanDiscovery.SetAddr(files.Gearman.Discovery)
 		}
-		if d.fleet != nil && f.Fleet != nil {
-			d.fleet.Reload(f.Fleet)
+		if d.fleet != nil && files.Fleet != nil {
+			d.fleet.Reload(files.Fleet)
 		}
 	}
 }
--- a/internal/daemon/docs_test.go
+++ b/internal/daemon/oncall_test.go
@@ -11,25 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-var logged = regexp.MustCompile(`(?:\b[lL]og\.(?:Info|Warn|Error)\(|\bsay\(\w+, |malformed\(|[cC]omplain\()"([^"]+)"`)
+var logCall = regexp.MustCompile(`(?:\b[lL]og\.(?:Info|Warn|Error)\(|\bsay\(\w+, |malformed\(|[cC]omplain\(|warnOnce\(|limitedLog\.Report\(|\.poll\()"([^"]+)"`)
 
-// On-call staff must find every line that the daemon can log.
+// The on-call page has to explain every message that the daemon logs.
 func TestOnCallPageKnowsEveryLine(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
-	found := 0
+	count := 0
 	for _, dir := range []string{"../../dispatch", "../../internal", "../../cmd/tinroute"} {
 		require.NoError(t, filepath.WalkDir(dir, func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			text, err := os.ReadFile(path)
-			for _, m := range logged.FindAllStringSubmatch(string(text), -1) {
-				found++
+			for _, m := range logCall.FindAllStringSubmatch(string(text), -1) {
+				count++
 				require.Contains(t, string(page), "`"+m[1]+"`", path)
 			}
 			return err
 		}))
 	}
-	require.Greater(t, found, 20)
+	require.Greater(t, count, 20)
 }
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -24,285 +24,288 @@
 	"tinroute.example/tinroute/internal/lab/conform"
 )
 
-// The scenario language. The first line names the workers with their cells, and scripts. Each
-// other line is a verb and who it concerns: a number is a client's
-// request, a small letter a worker, a capital letter whichever worker got a task first,
-// "table" discovery, "dispatcher" the daemon.
+// scenario runs a scenario. The first line of a scenario lists the workers with their cells, and
+// scripts. Every other line is a verb followed by the party it applies to: a number is a client's
+// request, a small letter a worker, a capital letter the worker that is first to get an attempt,
+// "table" the discovery server, and "dispatcher" the daemon.
 //
 //	send 1 CLASS [half]        a client sends request 1, or the first half of its bytes
-//	send 1 rest                ... and the rest
-//	send a STATE 1             region a tells of request 1: accepted, started, running, done, failed, returned, lost
-//	send a MODE                region a is from now on: normal, silent (takes bytes, says nothing), full, unfit (400),
-//	                           late (connections come up after 200 ms; memory network only)
-//	send table a STATE         discovery tells of region a
-//	send table SILENT          open connections to discovery bring nothing any more; new ones do
-//	send table DOWN|UP         discovery turns calls away, or answers them again
-//	send dispatcher TERM       the daemon is told to end
-//	send dispatcher START      it is started again, once it has ended, with the store that it had
-//	send 1 PACKET ARGS ...     a Gearman client sends a packet, as internal/lab/conform writes it
-//	expect 1 PACKET ARGS ...   ... and is sent one
+//	send 1 rest                the client sends the rest
+//	send a STATE 1             worker a reports on request 1: accepted, started, running, done, failed, returned, lost
+//	send a MODE                worker a changes to the mode normal, silent (reads, but sends nothing), full, unfit
+//	                           (answers 400) or late (connections are set up after 200 ms; memory network only)
+//	send table a STATE         discovery reports a state of worker a
+//	send table SILENT          open connections to discovery send nothing any more; new ones work
+//	send table DOWN|UP         discovery rejects requests, or answers them again
+//	send dispatcher TERM       the daemon is asked to stop
+//	send dispatcher START      the daemon is started again after it has stopped, with the same job store
+//	send 1 PACKET ARGS ...     a Gearman client sends a packet, in the language of internal/lab/conform
+//	expect 1 PACKET ARGS ...   the client receives a packet
 //	send dispatcher HUP NAME [renamed]
-//	                           ... to read its files again, which name this discovery, or are "faulty",
-//	                           and may give every class another name;
-//	                           "table" is this one from now on, and "old" the one before
-//	send 1 raw "TEXT"          a connection of client 1 carries these bytes
-//	expect 1 raw "TEXT"        ... and is answered with bytes that hold these
-//	expect 1 closed            ... and ends
+//	                           the daemon reloads its files, which now name this discovery server or are
+//	                           "faulty", and may rename every class; from then on "table" is the new
+//	                           discovery server and "old" the previous one
+//	send 1 raw "TEXT"          client 1 sends these bytes on a connection
+//	expect 1 raw "TEXT"        the client receives bytes that contain these
+//	expect 1 closed            the connection is closed
 //	expect 1 served|refused|failed|unfit
-//	expect a task 1            region a was given request 1
-//	expect a cancel 1          ... and told to give it up
+//	expect a task 1            worker a received an attempt at request 1
+//	expect a cancel 1          worker a received a cancel of request 1
 //	expect none                nothing has happened that no line expects
-//	close 1 | a | a 1 | table  a client leaves, a region dies, one exchange is cut, discovery goes
+//	close 1 | a | a 1 | table  a client disconnects, worker a dies, the connection with request 1 at worker a is
+//	                           closed, discovery stops
 //	wait 1s
-type world struct {
-	t       *testing.T
-	net     network
-	wire    wire
-	fake    bool
-	table   *table
-	old     *table
-	hangup  chan os.Signal
-	reread  string // discovery that the files name
-	renamed bool   // and they give every class another name
-	workers map[string]*worker
-	clients map[string]net.Conn
-	bound   map[string]string
-	rest    []byte
-	raw     map[string]*strings.Builder // what came on raw connections; guarded by mu
-	stop    context.CancelFunc
-	ended   chan error
-	log     *slog.Logger
-	run     func()                   // starts the daemon (again)
-	store   string                   // the job store's file, empty for none
-	packets map[string]*conform.Conn // connections that carry packets of the conformance suite's language
-	vars    conform.Vars
-	most    int // connections of Gearman clients, 0 for what the settings say
+type scenario struct {
+	t               *testing.T
+	net             network
+	protocol        protocol
+	fakeClock       bool
+	discovery       *fakeDiscovery
+	oldDiscovery    *fakeDiscovery
+	reloadSignals   chan os.Signal
+	reloadDiscovery string // discovery address in the files for the next reload
+	reloadRenamed   bool   // whether these files rename every class
+	workers         map[string]*fakeWorker
+	clients         map[string]net.Conn
+	workerByLetter  map[string]string
+	unsentBytes     []byte
+	rawReceived     map[string]*strings.Builder // bytes received on raw connections; guarded by mu
+	stopDaemon      context.CancelFunc
+	daemonErr       chan error
+	log             *slog.Logger
+	startDaemon     func()                   // starts the daemon, also after it has stopped
+	storeFile       string                   // file of the job store, empty for none
+	packetConns     map[string]*conform.Conn // connections driven by the conformance suite's language
+	vars            conform.Vars
+	maxClientConns  int // maximum number of Gearman client connections, 0 for the default
 
 	mu     sync.Mutex
 	events []string
 	counts map[string]int
 }
 
-// happened notes what a stand-in met.
-func (w *world) happened(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := fmt.Sprintf(format, args...)
-	w.events = append(w.events, e)
-	w.counts[strings.Fields(e)[1]]++
+// record records an event seen by a fake client, worker or discovery server.
+func (s *scenario) record(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	event := fmt.Sprintf(format, args...)
+	s.events = append(s.events, event)
+	s.counts[strings.Fields(event)[1]]++
 }
 
-// take finds the first event that a line expects and removes it.
-func (w *world) take(who, what string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, e := range w.events {
-		actor, rest, _ := strings.Cut(e, " ")
+// takeEvent removes the first event that matches and reports whether there was one. A capital letter
+// matches any worker and is bound to the first that matches.
+func (s *scenario) takeEvent(who, what string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i, event := range s.events {
+		actor, rest, _ := strings.Cut(event, " ")
 		if rest != what {
 			continue
 		}
 		if who == strings.ToUpper(who) && who != strings.ToLower(who) {
-			if b, ok := w.bound[who]; ok && b != actor {
+			if worker, ok := s.workerByLetter[who]; ok && worker != actor {
 				continue
 			}
-			w.bound[who] = actor
+			s.workerByLetter[who] = actor
 		} else if actor != who {
 			continue
 		}
-		w.events = slices.Delete(w.events, i, i+1)
+		s.events = slices.Delete(s.events, i, i+1)
 		return true
 	}
 	return false
 }
 
-func (w *world) settle() {
-	if w.fake {
+// waitIdle waits until all goroutines are blocked, on the fake clock only.
+func (s *scenario) waitIdle() {
+	if s.fakeClock {
 		synctest.Wait()
 	}
 }
 
-func (w *world) expect(line, who, what string) {
-	w.settle()
-	for until := time.Now().Add(5 * time.Second); !w.take(who, what); {
-		if w.fake || time.Now().After(until) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			require.FailNow(w.t, "did not happen: "+line, "unexpected so far: %q", w.events)
+func (s *scenario) expectEvent(line, who, what string) {
+	s.waitIdle()
+	for deadline := time.Now().Add(5 * time.Second); !s.takeEvent(who, what); {
+		if s.fakeClock || time.Now().After(deadline) {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			require.FailNow(s.t, "did not happen: "+line, "unexpected so far: %q", s.events)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func (w *world) line(line string) {
-	f := strings.Fields(line)
-	for i, name := range f {
-		if b, ok := w.bound[name]; ok && f[0] != "expect" {
-			f[i] = b
+func (s *scenario) runLine(line string) {
+	fields := strings.Fields(line)
+	for i, name := range fields {
+		if worker, ok := s.workerByLetter[name]; ok && fields[0] != "expect" {
+			fields[i] = worker
 		}
 	}
-	who := f[1]
+	who := fields[1]
 	switch {
-	case len(f) > 2 && f[0] != "wait" && w.workers[who] == nil && f[2] != "raw" && (conform.Known(f[2]) || w.packets[who] != nil):
-		w.packet(line, who)
-	case f[0] == "close" && w.packets[who] != nil:
-		require.NoError(w.t, w.packets[who].Close(), line)
-		delete(w.packets, who)
-	case f[0] == "wait":
+	case len(fields) > 2 && fields[0] != "wait" && s.workers[who] == nil && fields[2] != "raw" && (conform.Known(fields[2]) || s.packetConns[who] != nil):
+		s.runPacketLine(line, who)
+	case fields[0] == "close" && s.packetConns[who] != nil:
+		require.NoError(s.t, s.packetConns[who].Close(), line)
+		delete(s.packetConns, who)
+	case fields[0] == "wait":
 		d, err := time.ParseDuration(who)
-		require.NoError(w.t, err, line)
+		require.NoError(s.t, err, line)
 		time.Sleep(d)
-	case f[0] == "expect" && who == "none":
-		w.settle()
-		if !w.fake {
+	case fields[0] == "expect" && who == "none":
+		s.waitIdle()
+		if !s.fakeClock {
 			time.Sleep(30 * time.Millisecond)
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		require.Empty(w.t, w.events, line)
-	case f[0] == "expect" && f[2] == "raw":
-		w.expectRaw(line, who, quoted(w.t, line))
-	case f[0] == "expect":
-		w.expect(line, who, strings.Join(f[2:], " "))
-	case f[0] == "send" && who == "table" && f[2] == "SILENT":
-		w.table.fallSilent()
-	case f[0] == "send" && who == "table" && (f[2] == "DOWN" || f[2] == "UP"):
-		w.table.turnAway(f[2] == "DOWN")
-	case f[0] == "send" && who == "table":
-		w.table.tell(f[2], f[3])
-	case f[0] == "send" && who == "old":
-		w.old.tell(f[2], f[3])
-	case f[0] == "send" && who == "dispatcher" && f[2] == "HUP":
-		if w.reread = f[3]; f[3] != "faulty" {
-			w.old, w.table = w.table, newTable(w, f[3])
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		require.Empty(s.t, s.events, line)
+	case fields[0] == "expect" && fields[2] == "raw":
+		s.expectRaw(line, who, quotedText(s.t, line))
+	case fields[0] == "expect":
+		s.expectEvent(line, who, strings.Join(fields[2:], " "))
+	case fields[0] == "send" && who == "table" && fields[2] == "SILENT":
+		s.discovery.stopSending()
+	case fields[0] == "send" && who == "table" && (fields[2] == "DOWN" || fields[2] == "UP"):
+		s.discovery.setDown(fields[2] == "DOWN")
+	case fields[0] == "send" && who == "table":
+		s.discovery.setState(fields[2], fields[3])
+	case fields[0] == "send" && who == "old":
+		s.oldDiscovery.setState(fields[2], fields[3])
+	case fields[0] == "send" && who == "dispatcher" && fields[2] == "HUP":
+		if s.reloadDiscovery = fields[3]; fields[3] != "faulty" {
+			s.oldDiscovery, s.discovery = s.discovery, newFakeDiscovery(s, fields[3])
 		}
-		w.renamed = len(f) > 4 && f[4] == "renamed"
-		w.hangup <- syscall.SIGHUP
-	case f[0] == "send" && who == "dispatcher" && f[2] == "START":
-		w.run()
-	case f[0] == "send" && who == "dispatcher":
-		w.stop()
-	case f[0] == "send" && w.workers[who] != nil:
-		r := w.workers[who]
-		if len(f) == 3 {
-			r.setMode(f[2])
+		s.reloadRenamed = len(fields) > 4 && fields[4] == "renamed"
+		s.reloadSignals <- syscall.SIGHUP
+	case fields[0] == "send" && who == "dispatcher" && fields[2] == "START":
+		s.startDaemon()
+	case fields[0] == "send" && who == "dispatcher":
+		s.stopDaemon()
+	case fields[0] == "send" && s.workers[who] != nil:
+		w := s.workers[who]
+		if len(fields) == 3 {
+			w.setMode(fields[2])
 		} else {
-			w.wire.tell(r, f[3], f[2])
+			s.protocol.report(w, fields[3], fields[2])
 		}
-	case f[0] == "send" && f[2] == "raw":
-		w.sendRaw(who, quoted(w.t, line))
-	case f[0] == "send":
-		w.request(who, f[2:])
-	case f[0] == "close" && who == "table":
-		w.table.close()
-	case f[0] == "close" && who == "old":
-		w.old.close()
-	case f[0] == "close" && w.workers[who] != nil && len(f) == 3:
-		w.workers[who].cut(f[2])
-	case f[0] == "close" && w.workers[who] != nil:
-		w.workers[who].close()
-	case f[0] == "close":
-		require.NoError(w.t, w.clients[who].Close(), line)
+	case fields[0] == "send" && fields[2] == "raw":
+		s.sendRaw(who, quotedText(s.t, line))
+	case fields[0] == "send":
+		s.sendRequest(who, fields[2:])
+	case fields[0] == "close" && who == "table":
+		s.discovery.close()
+	case fields[0] == "close" && who == "old":
+		s.oldDiscovery.close()
+	case fields[0] == "close" && s.workers[who] != nil && len(fields) == 3:
+		s.workers[who].closeConn(fields[2])
+	case fields[0] == "close" && s.workers[who] != nil:
+		s.workers[who].close()
+	case fields[0] == "close":
+		require.NoError(s.t, s.clients[who].Close(), line)
 	default:
-		require.FailNow(w.t, "no such line: "+line)
+		require.FailNow(s.t, "no such line: "+line)
 	}
-	w.settle()
+	s.waitIdle()
 }
 
-// packet plays a line in the conformance suite's language.
-func (w *world) packet(line, who string) {
+// runPacketLine runs a line in the conformance suite's language.
+func (s *scenario) runPacketLine(line, who string) {
 	words, err := conform.Words(line)
-	require.NoError(w.t, err, line)
-	n := w.packets[who]
-	if n == nil {
-		c, err := w.net.Dial(context.Background(), "tcp", w.wire.address())
-		require.NoError(w.t, err, line)
-		n = conform.NewConn(c, false)
-		w.packets[who] = n
+	require.NoError(s.t, err, line)
+	conn := s.packetConns[who]
+	if conn == nil {
+		c, err := s.net.Dial(context.Background(), "tcp", s.protocol.address())
+		require.NoError(s.t, err, line)
+		conn = conform.NewConn(c, false)
+		s.packetConns[who] = conn
 	}
 	if words[0] == "send" {
-		require.NoError(w.t, n.Say(words[2:], w.vars), line)
+		require.NoError(s.t, conn.Say(words[2:], s.vars), line)
 		return
 	}
-	w.settle()
-	for until := time.Now().Add(5 * time.Second); !n.Heard(words[2:], w.vars); {
-		if time.Now().After(until) {
-			require.FailNow(w.t, "did not happen: "+line, "came: %v", n.Left())
+	s.waitIdle()
+	for deadline := time.Now().Add(5 * time.Second); !conn.Heard(words[2:], s.vars); {
+		if time.Now().After(deadline) {
+			require.FailNow(s.t, "did not happen: "+line, "came: %v", conn.Left())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func (w *world) request(id string, f []string) {
-	if f[0] == "rest" {
-		_, err := w.clients[id].Write(w.rest)
-		require.NoError(w.t, err)
+func (s *scenario) sendRequest(id string, fields []string) {
+	if fields[0] == "rest" {
+		_, err := s.clients[id].Write(s.unsentBytes)
+		require.NoError(s.t, err)
 		return
 	}
-	c, err := w.net.Dial(context.Background(), "tcp", w.wire.address())
-	require.NoError(w.t, err)
-	w.clients[id] = c
-	data := w.wire.request(id, f[0])
-	if len(f) > 1 && f[1] == "half" {
-		w.rest, data = data[len(data)/2:], data[:len(data)/2]
+	c, err := s.net.Dial(context.Background(), "tcp", s.protocol.address())
+	require.NoError(s.t, err)
+	s.clients[id] = c
+	data := s.protocol.request(id, fields[0])
+	if len(fields) > 1 && fields[1] == "half" {
+		s.unsentBytes, data = data[len(data)/2:], data[:len(data)/2]
 	}
 	go func() {
-		if verdict, ok := w.wire.answer(c, id); ok {
-			w.happened("%s %s", id, verdict)
+		if verdict, ok := s.protocol.readAnswer(c, id); ok {
+			s.record("%s %s", id, verdict)
 		}
 	}()
 	_, err = c.Write(data)
-	require.NoError(w.t, err)
+	require.NoError(s.t, err)
 }
 
-func quoted(t *testing.T, line string) string {
+func quotedText(t *testing.T, line string) string {
 	text, err := strconv.Unquote(line[strings.Index(line, `"`):])
 	require.NoError(t, err, line)
 	return text
 }
 
-func (w *world) sendRaw(id, text string) {
-	c := w.clients[id]
+func (s *scenario) sendRaw(id, text string) {
+	c := s.clients[id]
 	if c == nil {
 		var err error
-		c, err = w.net.Dial(context.Background(), "tcp", w.wire.address())
-		require.NoError(w.t, err)
-		b := &strings.Builder{}
-		w.clients[id], w.raw[id] = c, b
+		c, err = s.net.Dial(context.Background(), "tcp", s.protocol.address())
+		require.NoError(s.t, err)
+		received := &strings.Builder{}
+		s.clients[id], s.rawReceived[id] = c, received
 		go func() {
 			buf := make([]byte, 4096)
 			for {
 				n, err := c.Read(buf)
-				w.mu.Lock()
-				b.Write(buf[:n])
-				w.mu.Unlock()
+				s.mu.Lock()
+				received.Write(buf[:n])
+				s.mu.Unlock()
 				if err != nil {
-					w.happened("%s closed", id)
+					s.record("%s closed", id)
 					return
 				}
 			}
 		}()
 	}
-	go func() { _, _ = c.Write([]byte(text)) }() // the other side may close in the middle
+	go func() { _, _ = c.Write([]byte(text)) }() // fails if the daemon closes the connection during the write
 }
 
-func (w *world) expectRaw(line, id, text string) {
-	w.settle()
-	for until := time.Now().Add(5 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-		w.mu.Lock()
-		got := w.raw[id].String()
-		w.mu.Unlock()
+func (s *scenario) expectRaw(line, id, text string) {
+	s.waitIdle()
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(2 * time.Millisecond) {
+		s.mu.Lock()
+		got := s.rawReceived[id].String()
+		s.mu.Unlock()
 		if strings.Contains(got, text) {
 			return
 		}
-		if w.fake || time.Now().After(until) {
-			require.FailNow(w.t, "did not happen: "+line, "came: %q", got)
+		if s.fakeClock || time.Now().After(deadline) {
+			require.FailNow(s.t, "did not happen: "+line, "came: %q", got)
 		}
 	}
 }
 
-// play runs one scenario and returns how often each thing happened.
-func play(t *testing.T, text string, n network, wr wire, fake bool) map[string]int {
-	w := newWorld(t, n, wr, fake)
+// runScenario runs one scenario and returns the number of events of each kind.
+func runScenario(t *testing.T, text string, n network, proto protocol, fakeClock bool) map[string]int {
+	s := newScenario(t, n, proto, fakeClock)
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	var hooks []string
 	for _, name := range strings.Fields(strings.TrimPrefix(lines[0], "regions")) {
@@ -311,107 +314,106 @@
 			continue
 		}
 		if name == "store" {
-			w.store = filepath.Join(t.TempDir(), "jobs")
+			s.storeFile = filepath.Join(t.TempDir(), "jobs")
 			continue
 		}
 		name, cell, _ := strings.Cut(name, "/")
-		w.workers[name] = newWorker(w, name, cell)
+		s.workers[name] = newFakeWorker(s, name, cell)
 	}
-	w.launch(hooks)
-	defer w.finish()
+	s.start(hooks)
+	defer s.finish()
 	for _, line := range lines[1:] {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
-			w.line(line)
+			s.runLine(line)
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return maps.Clone(w.counts)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return maps.Clone(s.counts)
 }
 
-func newWorld(t *testing.T, n network, wr wire, fake bool) *world {
-	return &world{t: t, net: n, wire: wr, fake: fake, counts: map[string]int{}, bound: map[string]string{},
-		workers: map[string]*worker{}, clients: map[string]net.Conn{}, raw: map[string]*strings.Builder{},
-		packets: map[string]*conform.Conn{}, vars: conform.Vars{}, hangup: make(chan os.Signal, 1)}
+func newScenario(t *testing.T, n network, proto protocol, fakeClock bool) *scenario {
+	return &scenario{t: t, net: n, protocol: proto, fakeClock: fakeClock, counts: map[string]int{}, workerByLetter: map[string]string{},
+		workers: map[string]*fakeWorker{}, clients: map[string]net.Conn{}, rawReceived: map[string]*strings.Builder{},
+		packetConns: map[string]*conform.Conn{}, vars: conform.Vars{}, reloadSignals: make(chan os.Signal, 1)}
 }
 
-// launch starts the daemon, with the table and the workers that there are.
-func (w *world) launch(hooks []string) {
-	t := w.t
-	w.table = newTable(w, "table")
-	c, err := config.Parse([]byte(settings))
+// start starts discovery, listing the existing workers, and the daemon.
+func (s *scenario) start(hooks []string) {
+	t := s.t
+	s.discovery = newFakeDiscovery(s, "table")
+	cfg, err := config.Parse([]byte(settingsJSON))
 	require.NoError(t, err)
-	c.Listen, c.Discovery = "http", "table"
-	if w.log == nil {
-		w.log = slog.New(slog.DiscardHandler)
+	cfg.Listen, cfg.Discovery = "http", "table"
+	if s.log == nil {
+		s.log = slog.New(slog.DiscardHandler)
 	}
-	d := &Daemon{Config: c, Log: w.log, Dial: w.net.Dial, Listen: w.net.Listen, ReloadSignals: w.hangup}
-	w.wire.prepare(t, w, d)
+	d := &Daemon{Config: cfg, Log: s.log, Dial: s.net.Dial, Listen: s.net.Listen, ReloadSignals: s.reloadSignals}
+	s.protocol.configure(t, s, d)
 	d.ReadFiles = func() (Files, error) {
-		if w.reread == "faulty" {
+		if s.reloadDiscovery == "faulty" {
 			return Files{}, errors.New("discovery: missing")
 		}
-		c := *d.Config
-		if w.renamed {
-			other, err := config.Parse([]byte(strings.NewReplacer("price-read", "price-look", "price-fix", "price-mend").Replace(settings)))
+		cfg := *d.Config
+		if s.reloadRenamed {
+			other, err := config.Parse([]byte(strings.NewReplacer("price-read", "price-look", "price-fix", "price-mend").Replace(settingsJSON)))
 			require.NoError(t, err)
-			c.Settings, c.Names, c.Limits = other.Settings, other.Names, other.Limits
+			cfg.Settings, cfg.Names, cfg.Limits = other.Settings, other.Names, other.Limits
 		}
-		if c.Discovery = w.reread; d.Gearman == nil {
-			return Files{Config: &c}, nil
+		if cfg.Discovery = s.reloadDiscovery; d.Gearman == nil {
+			return Files{Config: &cfg}, nil
 		}
 		g := *d.Gearman
-		g.Discovery = w.reread
-		return Files{Config: &c, Gearman: &g}, nil
+		g.Discovery = s.reloadDiscovery
+		return Files{Config: &cfg, Gearman: &g}, nil
 	}
-	if c.Hooks = hooks; d.Gearman != nil {
+	if cfg.Hooks = hooks; d.Gearman != nil {
 		d.Gearman.Hooks = hooks
 	}
-	w.run = func() {
+	s.startDaemon = func() {
 		ctx, stop := context.WithCancel(context.Background())
-		w.stop, w.ended = stop, make(chan error, 1)
-		calls := w.table.called()
-		go func(ended chan error) { ended <- d.Run(ctx); w.happened("dispatcher ended") }(w.ended)
-		for w.settle(); w.table.called() < calls+2; w.settle() { // the daemon is up once it watches the table
+		s.stopDaemon, s.daemonErr = stop, make(chan error, 1)
+		calls := s.discovery.callCount()
+		go func(ended chan error) { ended <- d.Run(ctx); s.record("dispatcher ended") }(s.daemonErr)
+		for s.waitIdle(); s.discovery.callCount() < calls+2; s.waitIdle() { // the daemon is ready once it watches discovery
 			time.Sleep(time.Millisecond)
 		}
 	}
-	w.run()
+	s.startDaemon()
 }
 
-func (w *world) finish() {
-	for _, c := range w.clients { // it would wait for those that stay
+func (s *scenario) finish() {
+	for _, c := range s.clients { // the drain would wait for open connections
 		_ = c.Close()
 	}
-	for _, c := range w.packets {
+	for _, c := range s.packetConns {
 		_ = c.Close()
 	}
-	w.stop()
-	require.NoError(w.t, <-w.ended)
-	w.table.close()
-	if w.old != nil {
-		w.old.close()
+	s.stopDaemon()
+	require.NoError(s.t, <-s.daemonErr)
+	s.discovery.close()
+	if s.oldDiscovery != nil {
+		s.oldDiscovery.close()
 	}
-	for _, r := range w.workers {
-		r.close()
+	for _, w := range s.workers {
+		w.close()
 	}
-	w.settle()
+	s.waitIdle()
 }
 
-// A file that names other classes, tenants and limits at SIGHUP changes nothing but discovery's
-// address: a request that is open keeps the class it came with, and those that come are known by the
-// names of the start.
-func TestAReloadThatRenamesClassesChangesNothing(t *testing.T) {
-	for name, wr := range map[string]func() wire{"http": func() wire { return &httpWire{} }, "gearman": func() wire { return &gearmanWire{} }} {
+// A reload of a file with other classes, tenants and limits changes only the address of discovery:
+// an open request keeps its class, and new requests are matched to the classes of the first file.
+func TestReloadKeepsClasses(t *testing.T) {
+	for name, newProtocol := range map[string]func() protocol{"http": func() protocol { return &httpProtocol{} }, "gearman": func() protocol { return &gearmanProtocol{} }} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				play(t, renaming, &memory{}, wr(), true)
+				runScenario(t, renamedClassesScenario, &pipeNetwork{}, newProtocol(), true)
 			})
 		})
 	}
 }
 
-const renaming = `regions a/0
+const renamedClassesScenario = `regions a/0
 send 1 price-fix
 expect a task 1
 send dispatcher HUP second renamed
@@ -422,16 +424,16 @@
 expect a task 2
 send a done 2
 expect 2 served
-# Under the names of the file that was read again there is nothing.
+# The class names of the reloaded file are unknown.
 send 3 price-look
 wait 50ms
 expect 3 unfit
 expect none
 `
 
-// Each scenario is played on both fronts: on an in-memory network by a fake clock and, where
-// it is short, over TCP on the loopback address by the real one. The same things must
-// happen equally often.
+// Runs each scenario for both protocols, on an in-memory network with a fake clock and, if it is
+// short, over TCP on the loopback interface with the real clock. The number of events of each kind
+// has to be the same.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/both/*.txt")
 	require.NoError(t, err)
@@ -443,22 +445,22 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var counts []map[string]int
-			for _, wr := range []wire{&httpWire{}, &gearmanWire{}} {
-				synctest.Test(t, func(t *testing.T) { counts = append(counts, play(t, string(text), &memory{}, wr, true)) })
+			for _, proto := range []protocol{&httpProtocol{}, &gearmanProtocol{}} {
+				synctest.Test(t, func(t *testing.T) { counts = append(counts, runScenario(t, string(text), &pipeNetwork{}, proto, true)) })
 			}
 			require.Equal(t, counts[0], counts[1], "HTTP and Gearman")
 			if strings.Contains(string(text), "# loopback") {
-				for _, wr := range []wire{&httpWire{}, &gearmanWire{}} {
-					require.Equal(t, counts[0], play(t, string(text), &loopback{}, wr, false), "loopback")
+				for _, proto := range []protocol{&httpProtocol{}, &gearmanProtocol{}} {
+					require.Equal(t, counts[0], runScenario(t, string(text), &loopbackNetwork{}, proto, false), "loopback")
 				}
 			}
 		})
 	}
 }
 
-// What one protocol alone knows, and what is malformed in it.
-func TestWireScenarios(t *testing.T) {
-	for dir, wr := range map[string]func() wire{"http": func() wire { return &httpWire{} }, "gearman": func() wire { return &gearmanWire{} }} {
+// Runs the scenarios of a single protocol: its own features, and malformed input.
+func TestProtocolScenarios(t *testing.T) {
+	for dir, newProtocol := range map[string]func() protocol{"http": func() protocol { return &httpProtocol{} }, "gearman": func() protocol { return &gearmanProtocol{} }} {
 		files, err := filepath.Glob("testdata/" + dir + "/*.txt")
 		require.NoError(t, err)
 		require.NotEmpty(t, files)
@@ -466,7 +468,7 @@
 			text, err := os.ReadFile(file)
 			require.NoError(t, err)
 			t.Run(dir+"/"+filepath.Base(file), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { play(t, string(text), &memory{}, wr(), true) })
+				synctest.Test(t, func(t *testing.T) { runScenario(t, string(text), &pipeNetwork{}, newProtocol(), true) })
 			})
 		}
 	}
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -17,66 +17,66 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// BenchmarkJobCreated is a background job's submission until its JOB_CREATED is read, by 64 clients at
-// once over TCP; the jobs are timed, so that none is run meanwhile.
+// BenchmarkJobCreated measures the time from submitting a background job until JOB_CREATED is read,
+// with 64 concurrent clients over TCP. The jobs are scheduled for later, so that none runs meanwhile.
 func BenchmarkJobCreated(b *testing.B) {
-	w := newWorld(&testing.T{}, &loopback{}, &gearmanWire{}, false)
-	w.store = filepath.Join(b.TempDir(), "jobs")
-	w.workers["a"] = newWorker(w, "a", "0")
-	w.launch(nil)
-	defer w.finish()
+	s := newScenario(&testing.T{}, &loopbackNetwork{}, &gearmanProtocol{}, false)
+	s.storeFile = filepath.Join(b.TempDir(), "jobs")
+	s.workers["a"] = newFakeWorker(s, "a", "0")
+	s.start(nil)
+	defer s.finish()
 	due := fmt.Sprint(time.Now().Add(time.Hour).Unix())
 	var mu sync.Mutex
-	var took []time.Duration
+	var allLatencies []time.Duration
 	b.ResetTimer()
 	defer b.StopTimer()  // before the daemon drains
-	b.SetParallelism(64) // the daemon keeps to one processor
+	b.SetParallelism(64) // per processor, and the daemon sets GOMAXPROCS to 1
 	b.RunParallel(func(p *testing.PB) {
-		c, err := w.net.Dial(context.Background(), "tcp", "gearman")
+		c, err := s.net.Dial(context.Background(), "tcp", "gearman")
 		if err != nil {
 			b.Error(err)
 			return
 		}
 		defer func() { _ = c.Close() }()
-		f := gearman.NewResponseFramer()
-		var mine []time.Duration
+		framer := gearman.NewResponseFramer()
+		var latencies []time.Duration
 		for p.Next() {
 			begin := time.Now()
 			_, _ = c.Write(gearman.Request(gearman.SubmitJobEpoch, "price-read", "", due, "some data of a job"))
-			_ = link.ReadMessages(c, f, func(x *gearman.Packet) bool {
-				if x.Type != gearman.JobCreated {
-					b.Errorf("packet %d %q", x.Type, x.Body)
+			_ = link.ReadMessages(c, framer, func(packet *gearman.Packet) bool {
+				if packet.Type != gearman.JobCreated {
+					b.Errorf("packet %d %q", packet.Type, packet.Body)
 				}
 				return false
 			})
-			mine = append(mine, time.Since(begin))
+			latencies = append(latencies, time.Since(begin))
 		}
 		mu.Lock()
-		took = append(took, mine...)
+		allLatencies = append(allLatencies, latencies...)
 		mu.Unlock()
 	})
-	slices.Sort(took)
-	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-µs")
-	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-µs")
+	slices.Sort(allLatencies)
+	b.ReportMetric(float64(allLatencies[len(allLatencies)/2].Microseconds()), "p50-µs")
+	b.ReportMetric(float64(allLatencies[len(allLatencies)*99/100].Microseconds()), "p99-µs")
 }
 
-// A job store that cannot be opened costs background jobs alone: they get ERROR at once, foreground
-// jobs are served, and one log line says so.
-func TestStoreDown(t *testing.T) {
+// If the job store cannot be opened, only background jobs fail: they get ERROR at once, foreground
+// jobs are served, and the failure is logged once.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &lines{}
-		w := newWorld(t, &memory{}, &gearmanWire{}, true)
-		w.log = slog.New(slog.NewTextHandler(log, nil))
-		w.store = filepath.Join(t.TempDir(), "no", "such", "jobs")
-		w.workers["a"] = newWorker(w, "a", "0")
-		w.launch(nil)
-		defer w.finish()
+		log := &logBuffer{}
+		s := newScenario(t, &pipeNetwork{}, &gearmanProtocol{}, true)
+		s.log = slog.New(slog.NewTextHandler(log, nil))
+		s.storeFile = filepath.Join(t.TempDir(), "no", "such", "jobs")
+		s.workers["a"] = newFakeWorker(s, "a", "0")
+		s.start(nil)
+		defer s.finish()
 		for _, line := range []string{`send 1 SUBMIT_JOB_BG price-read u1 j1`, `expect 1 ERROR store_unavailable *`,
 			`send 1 SUBMIT_JOB_EPOCH price-read u1 0 j1`, `expect 1 ERROR store_unavailable *`,
 			`send 1 SUBMIT_JOB price-read u1 j1`, `expect 1 JOB_CREATED $h`, `expect a task j1`, `send a done j1`, `expect 1 WORK_COMPLETE $h rj1`,
 			`send 2 text store`, `expect 2 text "ERR NO_STORE*"`, `expect none`} {
-			w.line(line)
+			s.runLine(line)
 		}
-		require.Equal(t, 1, log.count("job store not opened"))
+		require.Equal(t, 1, log.count("cannot open the job store; background jobs are unavailable"))
 	})
 }
--- a/internal/daemon/telemetry_test.go
+++ b/internal/daemon/telemetry_test.go
@@ -16,32 +16,32 @@
 	"tinroute.example/tinroute/internal/lab/collector"
 )
 
-// heard is a stand-in collector on both transports, and what it was sent.
-type heard struct {
+// fakeCollector is a collector for both transports that records what it receives.
+type fakeCollector struct {
 	*collector.Collector
-	mu             sync.Mutex
-	spans          []*collector.Span
-	exemplars      map[string]bool // traces that histograms name
-	metrics        map[string]int
-	logs           map[string]string // body of a line to its trace
-	overHTTP, gRPC string
+	mu                 sync.Mutex
+	spans              []*collector.Span
+	exemplars          map[string]bool   // trace ids of the histograms' exemplars
+	metrics            map[string]int    // maximum number of data points, by metric
+	logs               map[string]string // trace id by log message
+	httpAddr, grpcAddr string
 }
 
-func newHeard(t *testing.T) *heard {
-	h := &heard{exemplars: map[string]bool{}, metrics: map[string]int{}, logs: map[string]string{}}
-	h.Collector = collector.New(func(b collector.Batch) {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.spans = append(h.spans, collector.Spans(b)...)
+func newFakeCollector(t *testing.T) *fakeCollector {
+	c := &fakeCollector{exemplars: map[string]bool{}, metrics: map[string]int{}, logs: map[string]string{}}
+	c.Collector = collector.New(func(b collector.Batch) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.spans = append(c.spans, collector.Spans(b)...)
 		for _, rm := range b.Metrics.GetResourceMetrics() {
 			for _, sm := range rm.ScopeMetrics {
 				for _, m := range sm.Metrics {
 					for _, p := range m.GetExponentialHistogram().GetDataPoints() {
 						for _, e := range p.Exemplars {
-							h.exemplars[hex.EncodeToString(e.TraceId)] = true
+							c.exemplars[hex.EncodeToString(e.TraceId)] = true
 						}
 					}
-					h.metrics[m.Name] = max(h.metrics[m.Name], len(m.GetExponentialHistogram().GetDataPoints())+
+					c.metrics[m.Name] = max(c.metrics[m.Name], len(m.GetExponentialHistogram().GetDataPoints())+
 						len(m.GetSum().GetDataPoints())+len(m.GetGauge().GetDataPoints()))
 				}
 			}
@@ -49,40 +49,40 @@
 		for _, rl := range b.Logs.GetResourceLogs() {
 			for _, sl := range rl.ScopeLogs {
 				for _, l := range sl.LogRecords {
-					h.logs[l.Body.GetStringValue()] = string(l.TraceId)
+					c.logs[l.Body.GetStringValue()] = string(l.TraceId)
 				}
 			}
 		}
 	})
-	s, err := collector.Serve(h.Collector)
+	server, err := collector.Serve(c.Collector)
 	require.NoError(t, err)
-	t.Cleanup(s.Stop)
-	h.overHTTP, h.gRPC = s.HTTP, s.GRPC
-	return h
+	t.Cleanup(server.Stop)
+	c.httpAddr, c.grpcAddr = server.HTTP, server.GRPC
+	return c
 }
 
-// observed is a wire whose daemon exports telemetry as variables say.
-type observed struct {
-	wire
+// observedProtocol wraps a protocol and has the daemon export telemetry as configured by env.
+type observedProtocol struct {
+	protocol
 	env map[string]string
 }
 
-func (o *observed) prepare(t *testing.T, w *world, d *Daemon) {
-	o.wire.prepare(t, w, d)
+func (o *observedProtocol) configure(t *testing.T, s *scenario, d *Daemon) {
+	o.protocol.configure(t, s, d)
 	var err error
 	d.Telemetry, err = config.LoadTelemetry("", func(k string) string { return o.env[k] })
 	require.NoError(t, err)
 }
 
-func (h *heard) env(grpc bool) map[string]string {
+func (c *fakeCollector) env(grpc bool) map[string]string {
 	if grpc {
-		return map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": h.gRPC, "OTEL_EXPORTER_OTLP_PROTOCOL": "grpc", "OTEL_EXPORTER_OTLP_COMPRESSION": "gzip"}
+		return map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": c.grpcAddr, "OTEL_EXPORTER_OTLP_PROTOCOL": "grpc", "OTEL_EXPORTER_OTLP_COMPRESSION": "gzip"}
 	}
-	return map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": h.overHTTP, "OTEL_EXPORTER_OTLP_COMPRESSION": "gzip", "OTEL_EXPORTER_OTLP_HEADERS": "x-key=a%20b"}
+	return map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": c.httpAddr, "OTEL_EXPORTER_OTLP_COMPRESSION": "gzip", "OTEL_EXPORTER_OTLP_HEADERS": "x-key=a%20b"}
 }
 
-// Over both transports and on both fronts a collector is told of every request, of each of its
-// attempts once, linked to the one that it repeats, and of phases that fill the whole.
+// Over both transports and for both protocols, the exported spans contain every request, each of its
+// attempts once with a link to the attempt that it repeats, and phases that cover the whole request.
 func TestTelemetry(t *testing.T) {
 	for name, want := range map[string]struct {
 		verdicts map[string]int
@@ -100,60 +100,61 @@
 		text, err := os.ReadFile("testdata/both/" + name + ".txt")
 		require.NoError(t, err)
 		for _, grpc := range []bool{false, true} {
-			for front, wr := range map[string]wire{"http": &httpWire{}, "gearman": &gearmanWire{}} {
-				t.Run(fmt.Sprintf("%s %s gRPC %t", name, front, grpc), func(t *testing.T) {
+			for server, proto := range map[string]protocol{"http": &httpProtocol{}, "gearman": &gearmanProtocol{}} {
+				t.Run(fmt.Sprintf("%s %s gRPC %t", name, server, grpc), func(t *testing.T) {
 					t.Parallel()
-					h := newHeard(t)
-					play(t, string(text), &loopback{}, &observed{wr, h.env(grpc)}, false)
-					h.mu.Lock()
-					require.Empty(t, collector.Check(h.spans), "%s, gRPC %t, %T", name, grpc, wr)
-					verdicts, tasks, links := map[string]int{}, 0, 0
-					for _, s := range h.spans {
+					c := newFakeCollector(t)
+					runScenario(t, string(text), &loopbackNetwork{}, &observedProtocol{proto, c.env(grpc)}, false)
+					c.mu.Lock()
+					require.Empty(t, collector.Check(c.spans), "%s, gRPC %t, %T", name, grpc, proto)
+					verdicts, attempts, links := map[string]int{}, 0, 0
+					for _, s := range c.spans {
 						if v := s.Attributes["tinroute.verdict"]; v != "" {
 							verdicts[v]++
 						}
 						if s.IsTask() {
-							tasks++
+							attempts++
 							links += len(s.Links)
 						}
 					}
 					if want.verdicts != nil {
 						require.Equal(t, want.verdicts, verdicts, name)
-						require.Equal(t, []int{want.tasks, want.links}, []int{tasks, links}, name)
+						require.Equal(t, []int{want.tasks, want.links}, []int{attempts, links}, name)
 					}
-					require.NotEmpty(t, h.spans)
+					require.NotEmpty(t, c.spans)
 					for _, m := range []string{"tinroute.request.duration", "tinroute.phase.duration", "tinroute.answers", "tinroute.queue", "tinroute.region.slots",
 						"go.memory.used", "process.open_file_descriptor.count", "tinroute.telemetry.kept"} {
-						require.Positive(t, h.metrics[m], "%s of %v", m, h.metrics)
+						require.Positive(t, c.metrics[m], "%s of %v", m, c.metrics)
 					}
-					require.Contains(t, h.logs, "serving")
-					for _, r := range collector.Requests(h.spans) {
-						require.True(t, h.exemplars[r.Trace], "a histogram names the request")
+					require.Contains(t, c.logs, "serving")
+					for _, r := range collector.Requests(c.spans) {
+						require.True(t, c.exemplars[r.Trace], "no histogram has an exemplar for the request")
 					}
-					h.mu.Unlock()
+					c.mu.Unlock()
 				})
 			}
 		}
 	}
 }
 
-// A client's trace is taken up, its own span is the parent, and workers are told of the task's span.
+// A request continues the client's trace with the client's span as parent, and workers receive the
+// attempt's span as theirs.
 func TestTraceContext(t *testing.T) {
-	h := newHeard(t)
+	c := newFakeCollector(t)
 	const parent = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	w := newWorld(t, &loopback{}, &observed{&httpWire{}, h.env(false)}, false)
-	w.workers["a"], w.workers["b"] = newWorker(w, "a", "0"), newWorker(w, "b", "0")
-	w.launch(nil)
-	w.line(`send 1 raw "POST /price-read HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nTraceparent: ` + parent + `\r\nTracestate: vendor=x\r\nContent-Length: 0\r\n\r\n"`)
-	w.line("expect X task 7")
-	w.line("send X lost 7")
-	w.line("expect Y task 7")
-	w.line("send Y done 7")
-	w.line(`expect 1 raw "r7"`)
-	w.finish()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	requests := collector.Requests(h.spans)
+	s := newScenario(t, &loopbackNetwork{}, &observedProtocol{&httpProtocol{}, c.env(false)}, false)
+	s.workers["a"], s.workers["b"] = newFakeWorker(s, "a", "0"), newFakeWorker(s, "b", "0")
+	s.start(nil)
+	s.runLine(`send 1 raw "POST /price-read HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nTraceparent: ` + parent + `\r\nTracestate: vendor=x\r\nContent-Length: 0\r\n\r\n"`)
+	s.runLine("expect X task 7")
+	s.runLine("send X lost 7")
+	s.runLine("expect Y task 7")
+	s.runLine("send Y done 7")
+	s.runLine(`expect 1 raw "r7"`)
+	s.finish()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	requests := collector.Requests(c.spans)
 	require.Len(t, requests, 1)
 	require.Equal(t, "0af7651916cd43dd8448eb211c80319c b7ad6b7169203331", requests[0].Trace+" "+requests[0].Parent)
 	traces := map[string]bool{}
@@ -163,27 +164,27 @@
 		}
 	}
 	require.Len(t, traces, 2)
-	told := map[string]bool{}
-	for _, r := range w.workers {
-		r.mu.Lock()
-		maps.Copy(told, r.traces)
-		r.mu.Unlock()
+	received := map[string]bool{}
+	for _, w := range s.workers {
+		w.mu.Lock()
+		maps.Copy(received, w.traces)
+		w.mu.Unlock()
 	}
-	require.Equal(t, traces, told)
+	require.Equal(t, traces, received)
 }
 
-// However a collector fails, no answer waits for it and the daemon ends in time.
-func TestBadCollector(t *testing.T) {
+// However a collector fails, it delays no answer, and the daemon stops in time.
+func TestCollectorFailures(t *testing.T) {
 	text, err := os.ReadFile("testdata/both/safe-lost.txt")
 	require.NoError(t, err)
-	for name, s := range map[string]collector.Script{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "half": {Mode: collector.Half},
+	for name, script := range map[string]collector.Script{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "half": {Mode: collector.Half},
 		"reset": {Mode: collector.Reset}, "refuse": {Mode: collector.Refuse, Status: 503, RetryAfter: "3600"}, "cut": {Mode: collector.Cut}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHeard(t)
-			h.Play(s)
+			c := newFakeCollector(t)
+			c.Play(script)
 			began := time.Now()
-			play(t, string(text), &loopback{}, &observed{&httpWire{}, h.env(false)}, false)
+			runScenario(t, string(text), &loopbackNetwork{}, &observedProtocol{&httpProtocol{}, c.env(false)}, false)
 			require.Less(t, time.Since(began), 8*time.Second)
 		})
 	}
@@ -192,7 +193,7 @@
 			t.Run(name+" "+strings.ReplaceAll(protocol, "/", " "), func(t *testing.T) {
 				t.Parallel()
 				began := time.Now()
-				play(t, string(text), &loopback{}, &observed{&httpWire{}, map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": endpoint, "OTEL_EXPORTER_OTLP_PROTOCOL": protocol}}, false)
+				runScenario(t, string(text), &loopbackNetwork{}, &observedProtocol{&httpProtocol{}, map[string]string{"OTEL_EXPORTER_OTLP_ENDPOINT": endpoint, "OTEL_EXPORTER_OTLP_PROTOCOL": protocol}}, false)
 				require.Less(t, time.Since(began), 8*time.Second)
 			})
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,45 +15,45 @@
 	"tinroute.example/tinroute/internal/override"
 )
 
-const within = 2 * time.Second // far more than a look takes: only a missing handover fails
-
-func keeper(t *testing.T, dir string, log *slog.Logger) *override.Set {
-	b := override.New()
-	k := NewSyncer(SyncerOptions{Dir: dir, Overrides: b, Log: log, PollInterval: 5 * time.Millisecond})
-	k.Start()
-	t.Cleanup(k.Close)
-	return b
+const testTimeout = 2 * time.Second // much longer than a poll takes, so that only a missing handover fails
+
+func startSyncer(t *testing.T, dir string, log *slog.Logger) *override.Set {
+	set := override.New()
+	s := NewSyncer(SyncerOptions{Dir: dir, Overrides: set, Log: log, PollInterval: 5 * time.Millisecond})
+	s.Start()
+	t.Cleanup(s.Close)
+	return set
 }
 
-// Two processes of one dispatcher keep one set of bans: what is taken out at either is out at
-// both, and what is taken back at the new one comes back at the old one too.
-func TestBansPassBetweenProcesses(t *testing.T) {
+// The old and the new process of a dispatcher share one set of detached workers: detaching or
+// attaching a worker in either applies to both.
+func TestDetachedWorkersAreShared(t *testing.T) {
 	dir := t.TempDir()
-	old := keeper(t, dir, nil)
+	old := startSyncer(t, dir, nil)
 	old.RecordListed(time.Now(), "s-1", "s-2")
 	_, err := old.Detach(time.Now(), "s-1")
 	require.NoError(t, err)
 
-	fresh := keeper(t, dir, nil)
-	require.Eventually(t, func() bool { return fresh.IsDetached("s-1") }, within, time.Millisecond, "not taken over at the start")
-	_, err = fresh.Attach("s-1")
-	require.NoError(t, err, "a name taken over counts as listed")
-	_, err = fresh.Detach(time.Now(), "s-1")
+	successor := startSyncer(t, dir, nil)
+	require.Eventually(t, func() bool { return successor.IsDetached("s-1") }, testTimeout, time.Millisecond, "not adopted at the start")
+	_, err = successor.Attach("s-1")
+	require.NoError(t, err, "an adopted name counts as listed")
+	_, err = successor.Detach(time.Now(), "s-1")
 	require.NoError(t, err)
-	_, err = fresh.Attach("s-1")
+	_, err = successor.Attach("s-1")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !old.IsDetached("s-1") }, within, time.Millisecond, "the old process keeps a ban lifted at the new one")
-	fresh.RecordListed(time.Now(), "s-2")
-	_, err = fresh.Detach(time.Now(), "s-2")
+	require.Eventually(t, func() bool { return !old.IsDetached("s-1") }, testTimeout, time.Millisecond, "the old process does not attach the worker")
+	successor.RecordListed(time.Now(), "s-2")
+	_, err = successor.Detach(time.Now(), "s-2")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return old.IsDetached("s-2") }, within, time.Millisecond)
+	require.Eventually(t, func() bool { return old.IsDetached("s-2") }, testTimeout, time.Millisecond)
 }
 
-// The file is replaced whole: what a successor finds is one generation or the next, never a mix.
-func TestWrittenAtomically(t *testing.T) {
+// The file is replaced atomically: a reader finds a complete generation, never a mix of two.
+func TestFileIsReplacedAtomically(t *testing.T) {
 	dir := t.TempDir()
-	b := keeper(t, dir, nil)
-	b.RecordListed(time.Now(), "s-1", "s-2")
+	set := startSyncer(t, dir, nil)
+	set.RecordListed(time.Now(), "s-1", "s-2")
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	wg.Go(func() {
@@ -65,38 +65,38 @@
 			}
 			if data, err := os.ReadFile(filepath.Join(dir, StateFileName)); err == nil {
 				_, err := override.Decode(data)
-				require.NoError(t, err, "a reader found a torn file")
+				require.NoError(t, err, "a reader found an incomplete file")
 			}
 		}
 	})
 	for range 200 {
-		_, _ = b.Detach(time.Now(), "s-1")
-		_, _ = b.Attach("s-1")
+		_, _ = set.Detach(time.Now(), "s-1")
+		_, _ = set.Attach("s-1")
 	}
 	time.Sleep(20 * time.Millisecond)
 	close(stop)
 	wg.Wait()
 }
 
-// A torn or foreign file is ignored with one line in the log, however often it is looked at.
-func TestTornFileIgnored(t *testing.T) {
+// A truncated or foreign file is ignored, and logged once however often it is polled.
+func TestInvalidFileIsIgnored(t *testing.T) {
 	dir := t.TempDir()
-	whole := override.Encode(override.State{Generation: 9, Detached: []string{"s-1"}})
-	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), whole[:len(whole)-3], 0o600))
+	encoded := override.Encode(override.State{Generation: 9, Detached: []string{"s-1"}})
+	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), encoded[:len(encoded)-3], 0o600))
 	log := &lockedBuffer{}
-	b := keeper(t, dir, slog.New(slog.NewTextHandler(log, nil)))
-	time.Sleep(50 * time.Millisecond) // some ten looks
-	require.False(t, b.IsDetached("s-1"))
-	require.Equal(t, 1, strings.Count(log.String(), "file of hand bans ignored"), log.String())
+	set := startSyncer(t, dir, slog.New(slog.NewTextHandler(log, nil)))
+	time.Sleep(50 * time.Millisecond) // about ten polls
+	require.False(t, set.IsDetached("s-1"))
+	require.Equal(t, 1, strings.Count(log.String(), "detached-workers file ignored"), log.String())
 
 	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), []byte("something else\n"), 0o600))
 	time.Sleep(50 * time.Millisecond)
-	require.Equal(t, 2, strings.Count(log.String(), "file of hand bans ignored"), "a new fault is told once more")
-	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), whole, 0o600))
-	require.Eventually(t, func() bool { return b.IsDetached("s-1") }, within, time.Millisecond, "a good file after a bad one")
+	require.Equal(t, 2, strings.Count(log.String(), "detached-workers file ignored"), "a different fault is logged again")
+	require.NoError(t, os.WriteFile(filepath.Join(dir, StateFileName), encoded, 0o600))
+	require.Eventually(t, func() bool { return set.IsDetached("s-1") }, testTimeout, time.Millisecond, "a valid file after an invalid one is not adopted")
 }
 
-// lockedBuffer is a log that the test reads while a keeper writes to it.
+// lockedBuffer is a log that the test reads while a Syncer writes to it.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -114,43 +114,43 @@
 	return l.b.String()
 }
 
-// A call-back that one process does not know reaches the other by its inbox, once and whole; a
-// process alone relays nothing.
-func TestRelay(t *testing.T) {
+// Callbacks relayed through the inbox reach the other process complete, once and in order. A process
+// without peers relays nothing.
+func TestRelayCallbacks(t *testing.T) {
 	dir := t.TempDir()
-	type got struct {
+	type received struct {
 		mu     sync.Mutex
 		bodies []string
 	}
-	var atOld, atNew got
-	deliver := func(g *got) func([]byte) {
+	var atOld, atNew received
+	deliver := func(to *received) func([]byte) {
 		return func(b []byte) {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.bodies = append(g.bodies, string(b))
+			to.mu.Lock()
+			defer to.mu.Unlock()
+			to.bodies = append(to.bodies, string(b))
 		}
 	}
 	old := NewRelay(dir, nil, deliver(&atOld))
 	require.NoError(t, old.Start())
-	require.False(t, old.Send([]byte("alone")), "no one to relay to")
+	require.False(t, old.Send([]byte("alone")), "there is no peer")
 
-	fresh := NewRelay(dir, nil, deliver(&atNew))
-	require.NoError(t, fresh.Start())
-	require.Equal(t, 1, fresh.PeerCount(), "the new process sees the old one at its start")
-	require.Eventually(t, func() bool { return old.PeerCount() == 1 }, within, time.Millisecond)
+	successor := NewRelay(dir, nil, deliver(&atNew))
+	require.NoError(t, successor.Start())
+	require.Equal(t, 1, successor.PeerCount(), "the new process finds the old one when it starts")
+	require.Eventually(t, func() bool { return old.PeerCount() == 1 }, testTimeout, time.Millisecond)
 	var want []string
 	for i := range 50 {
 		body := `{"id":"` + strings.Repeat("x", i) + `","state":"done"}`
-		require.True(t, fresh.Send([]byte(body)))
+		require.True(t, successor.Send([]byte(body)))
 		want = append(want, body)
 	}
 	require.Eventually(t, func() bool {
 		atOld.mu.Lock()
 		defer atOld.mu.Unlock()
 		return len(atOld.bodies) == len(want)
-	}, within, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	atOld.mu.Lock()
-	require.Equal(t, want, atOld.bodies, "in the order sent, each once")
+	require.Equal(t, want, atOld.bodies, "each once, in the order sent")
 	atOld.mu.Unlock()
 	require.Empty(t, atNew.bodies)
 
@@ -158,8 +158,8 @@
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, e := range entries {
-		require.NotContains(t, e.Name(), old.self, "the old process leaves nothing behind")
+		require.NotContains(t, e.Name(), old.self, "the old process left a file behind")
 	}
-	require.Eventually(t, func() bool { return fresh.PeerCount() == 0 }, 3*stale, 10*time.Millisecond)
-	fresh.Close()
+	require.Eventually(t, func() bool { return successor.PeerCount() == 0 }, 3*livenessTimeout, 10*time.Millisecond)
+	successor.Close()
 }
--- a/internal/handover/relay.go
+++ b/internal/handover/relay.go
@@ -14,38 +14,39 @@
 	"time"
 )
 
-// During an upgrade two processes listen at the clients' address, and a worker's call-back
-// reaches either, whichever process sent the request. One that does not know the request puts
-// the call-back in the other's inbox, a folder in the shared $TMPDIR, and the other takes it up
-// from there. A process marks that it is alive by a file that it touches every beat.
+// During an upgrade two processes listen at the clients' address, and a worker's callback may
+// reach either of them, whichever sent the request. A process that does not know the request puts
+// the callback in the other's inbox, a directory in the shared $TMPDIR, which the other polls. A
+// process shows that it is alive by touching its liveness file at every heartbeat.
 const (
 	livePrefix  = "tinroute-live."
 	inboxPrefix = "tinroute-inbox."
-	// beat is how often the mark is touched and the marks of others are looked at; a mark
-	// older than stale is of a process that has ended.
-	beat  = 100 * time.Millisecond
-	stale = time.Second
-	// pick is how often the inbox is looked at while another process lives.
-	pick = 10 * time.Millisecond
-	// inboxMost bounds what waits in an inbox: beyond it call-backs are not relayed.
-	inboxMost = 4096
+	// heartbeatInterval is how often a process touches its liveness file and checks those of the
+	// others. A liveness file older than livenessTimeout belongs to a process that has ended.
+	heartbeatInterval = 100 * time.Millisecond
+	livenessTimeout   = time.Second
+	// inboxPollInterval is how often the inbox is read while another process is alive.
+	inboxPollInterval = 10 * time.Millisecond
+	// maxInboxFiles is the number of callbacks delivered in one read of the inbox; those beyond it
+	// are dropped.
+	maxInboxFiles = 4096
 )
 
-// Relay carries call-backs to the other processes that share the folder. Its zero value is not
-// ready: use NewRelay.
+// Relay forwards callbacks to the other processes that share the directory. Use NewRelay to create
+// one.
 type Relay struct {
-	dir, self string
-	deliver   func(body []byte)
-	log       *slog.Logger
-	peers     atomic.Pointer[[]string] // inboxes of the others that live
-	seq       atomic.Uint64
-	stop      chan struct{}
-	done      sync.WaitGroup
-	told      atomic.Bool // that relaying failed, once
+	dir, self     string
+	deliver       func(body []byte)
+	log           *slog.Logger
+	peers         atomic.Pointer[[]string] // ids of the other processes that are alive
+	seq           atomic.Uint64
+	stop          chan struct{}
+	wg            sync.WaitGroup
+	failureLogged atomic.Bool // whether a failed relay has been logged
 }
 
-// NewRelay returns a relay in dir (os.TempDir() where empty) that hands what comes for this
-// process to deliver, on its own goroutine.
+// NewRelay returns a relay in dir (os.TempDir() if empty) that calls deliver, on a goroutine of
+// its own, with each callback received for this process.
 func NewRelay(dir string, log *slog.Logger, deliver func(body []byte)) *Relay {
 	if dir == "" {
 		dir = os.TempDir()
@@ -59,38 +60,39 @@
 	return r
 }
 
-// Start marks this process as alive, looks for others and takes up what they send.
+// Start creates the inbox and the liveness file of this process, looks for other processes and
+// begins to receive.
 func (r *Relay) Start() error {
-	if err := os.MkdirAll(r.inbox(r.self), 0o700); err != nil {
+	if err := os.MkdirAll(r.inboxDir(r.self), 0o700); err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	if err := os.WriteFile(r.mark(r.self), nil, 0o600); err != nil {
+	if err := os.WriteFile(r.livenessFile(r.self), nil, 0o600); err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
-	r.look()
-	r.done.Go(r.run)
+	r.findPeers()
+	r.wg.Go(r.run)
 	return nil
 }
 
-// Close takes up what is in the inbox once more, and removes the mark and the inbox.
+// Close reads the inbox a last time, then removes it and the liveness file.
 func (r *Relay) Close() {
 	close(r.stop)
-	r.done.Wait()
-	r.take()
-	_ = os.Remove(r.mark(r.self))
-	_ = os.RemoveAll(r.inbox(r.self))
+	r.wg.Wait()
+	r.receive()
+	_ = os.Remove(r.livenessFile(r.self))
+	_ = os.RemoveAll(r.inboxDir(r.self))
 }
 
-// PeerCount is the number of other processes that live.
+// PeerCount returns the number of other processes that are alive.
 func (r *Relay) PeerCount() int { return len(*r.peers.Load()) }
 
-// Send puts a call-back in the inbox of every other process that lives, and tells whether there
-// was one.
+// Send puts a callback in the inbox of every other process that is alive, and reports whether any
+// received it.
 func (r *Relay) Send(body []byte) bool {
 	peers := *r.peers.Load()
 	sent := false
-	for _, p := range peers {
-		dir := r.inbox(p)
+	for _, peer := range peers {
+		dir := r.inboxDir(peer)
 		name := fmt.Sprintf("%020d-%s-%d", time.Now().UnixNano(), r.self, r.seq.Add(1))
 		tmp := filepath.Join(dir, "."+name)
 		err := os.WriteFile(tmp, body, 0o600)
@@ -99,8 +101,8 @@
 		}
 		if err != nil {
 			_ = os.Remove(tmp)
-			if !r.told.Swap(true) {
-				r.log.Warn("call-back not relayed", "to", p, "err", err)
+			if !r.failureLogged.Swap(true) {
+				r.log.Warn("cannot relay a worker's callback to the other process", "to", peer, "err", err)
 			}
 			continue
 		}
@@ -109,56 +111,56 @@
 	return sent
 }
 
-func (r *Relay) mark(p string) string  { return filepath.Join(r.dir, livePrefix+p) }
-func (r *Relay) inbox(p string) string { return filepath.Join(r.dir, inboxPrefix+p) }
+func (r *Relay) livenessFile(process string) string { return filepath.Join(r.dir, livePrefix+process) }
+func (r *Relay) inboxDir(process string) string     { return filepath.Join(r.dir, inboxPrefix+process) }
 
 func (r *Relay) run() {
-	beats := time.NewTicker(beat)
-	defer beats.Stop()
-	picks := time.NewTicker(pick)
-	defer picks.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	inboxPoll := time.NewTicker(inboxPollInterval)
+	defer inboxPoll.Stop()
 	for {
 		select {
 		case <-r.stop:
 			return
-		case <-beats.C:
+		case <-heartbeat.C:
 			now := time.Now()
-			_ = os.Chtimes(r.mark(r.self), now, now)
-			r.look()
-			r.take() // also while alone: what came just before the other ended
-		case <-picks.C:
+			_ = os.Chtimes(r.livenessFile(r.self), now, now)
+			r.findPeers()
+			r.receive() // even without peers: one may have written just before it ended
+		case <-inboxPoll.C:
 			if r.PeerCount() > 0 {
-				r.take()
+				r.receive()
 			}
 		}
 	}
 }
 
-// look finds the others whose marks are fresh.
-func (r *Relay) look() {
+// findPeers updates the list of other processes, those with a fresh liveness file.
+func (r *Relay) findPeers() {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
 		return
 	}
 	var peers []string
 	for _, e := range entries {
-		p, ok := strings.CutPrefix(e.Name(), livePrefix)
-		if !ok || p == r.self {
+		peer, ok := strings.CutPrefix(e.Name(), livePrefix)
+		if !ok || peer == r.self {
 			continue
 		}
-		if info, err := e.Info(); err == nil && time.Since(info.ModTime()) < stale {
-			peers = append(peers, p)
+		if info, err := e.Info(); err == nil && time.Since(info.ModTime()) < livenessTimeout {
+			peers = append(peers, peer)
 		}
 	}
 	if len(peers) != r.PeerCount() {
-		r.log.Info("processes beside this one", "count", len(peers))
+		r.log.Info("number of other dispatcher processes changed", "count", len(peers))
 	}
 	r.peers.Store(&peers)
 }
 
-// take hands on what is in the inbox, in the order it came, and removes it.
-func (r *Relay) take() {
-	dir := r.inbox(r.self)
+// receive delivers the callbacks in the inbox in the order in which they were sent, and removes them.
+func (r *Relay) receive() {
+	dir := r.inboxDir(r.self)
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return
@@ -173,7 +175,7 @@
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		if i < inboxMost && err == nil {
+		if i < maxInboxFiles && err == nil {
 			r.deliver(body)
 		}
 	}
