--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,10 +1,9 @@
-// Package override keeps the workers that operators have taken out by hand: from the word until
-// the call back nothing new goes to them, whatever discovery says. It decides and
-// remembers, and does no I/O; the caller hands it the time and carries its state to a
-// successor process (see Encode).
+// Package override keeps the set of workers that operators have detached: until it is attached
+// again, a detached worker is sent nothing new, whatever discovery says. The package does no
+// I/O; the caller passes the time in and carries the state to a successor process (see Encode).
 //
-// A Set is safe for concurrent use: the operators' door writes to it, and every core reads
-// it on its own goroutine.
+// A Set is safe for concurrent use: the admin server writes to it, and every dispatcher core
+// reads it on its own goroutine.
 package override
 
 import (
@@ -18,166 +17,167 @@
 	"time"
 )
 
-// Bounds. A name longer than MaxNameBytes is no worker's; MaxListed names are remembered as
-// listed, the longest unlisted ones forgotten beyond that; MaxDetached workers can be out at once.
+// Limits of a Set.
 const (
-	MaxNameBytes = 256
-	MaxListed    = 1 << 14
-	MaxDetached  = 1024
+	MaxNameBytes = 256     // longer names are ignored
+	MaxListed    = 1 << 14 // names remembered as listed; beyond it those listed longest ago are forgotten
+	MaxDetached  = 1024    // workers detached at once
 )
 
-// Errors of Detach and Attach.
+// Errors returned by Detach and Attach.
 var (
 	ErrUnknownWorker   = errors.New("no worker of this id was ever listed")
 	ErrTooManyDetached = errors.New("too many workers out by hand")
 )
 
-// Set is the set of workers out by hand, with the names that were ever listed.
+// Set is the set of detached workers, with the names of the workers that discovery has listed.
 type Set struct {
-	mu     sync.Mutex
-	out    map[string]time.Time // since when, on the handed clock
-	listed map[string]time.Time // last listed
-	gen    atomic.Uint64        // bumped by every change of out
-	subs   []chan struct{}
+	mu          sync.Mutex
+	detached    map[string]time.Time // when each was detached, on the caller's clock
+	listed      map[string]time.Time // when each was last listed
+	generation  atomic.Uint64        // incremented by every change of detached
+	subscribers []chan struct{}
 }
 
-// New returns an empty book.
-func New() *Set { return &Set{out: map[string]time.Time{}, listed: map[string]time.Time{}} }
+// New returns an empty set.
+func New() *Set { return &Set{detached: map[string]time.Time{}, listed: map[string]time.Time{}} }
 
-// Generation is the generation of the set: it grows with every change, here or adopted. Any goroutine
-// may ask it, cheaply.
-func (b *Set) Generation() uint64 { return b.gen.Load() }
+// Generation returns the generation of the set, which grows with every change made here or adopted.
+// It takes no lock.
+func (set *Set) Generation() uint64 { return set.generation.Load() }
 
-// Subscribe returns a channel that is given a signal, without blocking, after each change.
-func (b *Set) Subscribe() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Subscribe returns a channel that receives a signal after each change, unless one is pending.
+func (set *Set) Subscribe() <-chan struct{} {
+	set.mu.Lock()
+	defer set.mu.Unlock()
 	ch := make(chan struct{}, 1)
-	b.subs = append(b.subs, ch)
+	set.subscribers = append(set.subscribers, ch)
 	return ch
 }
 
-// RecordListed notes names that a discovery lists now. An id never listed cannot be taken out or
-// back.
-func (b *Set) RecordListed(now time.Time, names ...string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecordListed records names that discovery lists now. A worker that was never listed can be
+// neither detached nor attached.
+func (set *Set) RecordListed(now time.Time, names ...string) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
 	for _, n := range names {
 		if len(n) <= MaxNameBytes {
-			b.listed[n] = now
+			set.listed[n] = now
 		}
 	}
-	if len(b.listed) > MaxListed { // forget the names listed longest ago, but not those out
-		type seen struct {
+	if len(set.listed) > MaxListed { // forget the names listed longest ago, except detached workers
+		type listing struct {
 			name string
 			at   time.Time
 		}
-		all := make([]seen, 0, len(b.listed))
-		for n, at := range b.listed {
-			all = append(all, seen{n, at})
+		all := make([]listing, 0, len(set.listed))
+		for n, at := range set.listed {
+			all = append(all, listing{n, at})
 		}
-		slices.SortFunc(all, func(x, y seen) int { return x.at.Compare(y.at) })
-		for _, s := range all[:len(all)-MaxListed*3/4] {
-			if _, out := b.out[s.name]; !out {
-				delete(b.listed, s.name)
+		slices.SortFunc(all, func(x, y listing) int { return x.at.Compare(y.at) })
+		for _, entry := range all[:len(all)-MaxListed*3/4] {
+			if _, detached := set.detached[entry.name]; !detached {
+				delete(set.listed, entry.name)
 			}
 		}
 	}
 }
 
-// Detach takes a worker out from now on. Repeating it changes nothing. It fails for a name
-// that was never listed, and when MaxOut are out.
-func (b *Set) Detach(now time.Time, name string) (gen uint64, err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, ok := b.listed[name]; !ok {
-		return b.gen.Load(), ErrUnknownWorker
+// Detach detaches a worker. It changes nothing if the worker is detached already. It fails for
+// a name that was never listed, and if MaxDetached workers are detached.
+func (set *Set) Detach(now time.Time, name string) (gen uint64, err error) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	if _, ok := set.listed[name]; !ok {
+		return set.generation.Load(), ErrUnknownWorker
 	}
-	if _, ok := b.out[name]; ok {
-		return b.gen.Load(), nil
+	if _, ok := set.detached[name]; ok {
+		return set.generation.Load(), nil
 	}
-	if len(b.out) >= MaxDetached {
-		return b.gen.Load(), ErrTooManyDetached
+	if len(set.detached) >= MaxDetached {
+		return set.generation.Load(), ErrTooManyDetached
 	}
-	b.out[name] = now
-	return b.changed(), nil
+	set.detached[name] = now
+	return set.recordChange(), nil
 }
 
-// Attach ends a worker's ban. For a listed worker that is not out it changes nothing.
-func (b *Set) Attach(name string) (gen uint64, err error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if _, ok := b.listed[name]; !ok {
-		if _, out := b.out[name]; !out {
-			return b.gen.Load(), ErrUnknownWorker
+// Attach attaches a detached worker again. For a listed worker that is not detached it changes
+// nothing.
+func (set *Set) Attach(name string) (gen uint64, err error) {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	if _, ok := set.listed[name]; !ok {
+		if _, detached := set.detached[name]; !detached {
+			return set.generation.Load(), ErrUnknownWorker
 		}
 	}
-	if _, ok := b.out[name]; !ok {
-		return b.gen.Load(), nil
+	if _, ok := set.detached[name]; !ok {
+		return set.generation.Load(), nil
 	}
-	delete(b.out, name)
-	return b.changed(), nil
+	delete(set.detached, name)
+	return set.recordChange(), nil
 }
 
-func (b *Set) changed() uint64 {
-	g := b.gen.Add(1)
-	for _, ch := range b.subs {
+// recordChange increments the generation and notifies the subscribers.
+func (set *Set) recordChange() uint64 {
+	gen := set.generation.Add(1)
+	for _, ch := range set.subscribers {
 		select {
 		case ch <- struct{}{}:
 		default:
 		}
 	}
-	return g
+	return gen
 }
 
-// IsDetached tells whether a worker is out by hand.
-func (b *Set) IsDetached(name string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, ok := b.out[name]
+// IsDetached reports whether a worker is detached.
+func (set *Set) IsDetached(name string) bool {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	_, ok := set.detached[name]
 	return ok
 }
 
-// State is what a successor needs: the names out, in order, and the generation they are of.
+// State is the part of a Set that a successor process takes over.
 type State struct {
 	Generation uint64
-	Detached   []string
+	Detached   []string // names of the detached workers, sorted
 }
 
-// State returns the book's state.
-func (b *Set) State() State {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := State{Generation: b.gen.Load(), Detached: make([]string, 0, len(b.out))}
-	for n := range b.out {
-		s.Detached = append(s.Detached, n)
+// State returns the state of the set.
+func (set *Set) State() State {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	state := State{Generation: set.generation.Load(), Detached: make([]string, 0, len(set.detached))}
+	for n := range set.detached {
+		state.Detached = append(state.Detached, n)
 	}
-	slices.Sort(s.Detached)
-	return s
+	slices.Sort(state.Detached)
+	return state
 }
 
-// Adopt takes another process's state where it is newer than the book's own, and tells
-// whether it did. The names in it count as listed.
-func (b *Set) Adopt(now time.Time, s State) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s.Generation <= b.gen.Load() {
+// Adopt replaces the set by another process's state if that has a higher generation, and reports
+// whether it did. The names in the state count as listed.
+func (set *Set) Adopt(now time.Time, state State) bool {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	if state.Generation <= set.generation.Load() {
 		return false
 	}
-	same := len(s.Detached) == len(b.out)
-	out := make(map[string]time.Time, len(s.Detached))
-	for _, n := range s.Detached[:min(len(s.Detached), MaxDetached)] {
-		at, was := b.out[n]
-		if !was {
-			at, same = now, false
+	unchanged := len(state.Detached) == len(set.detached)
+	detached := make(map[string]time.Time, len(state.Detached))
+	for _, n := range state.Detached[:min(len(state.Detached), MaxDetached)] {
+		since, known := set.detached[n]
+		if !known {
+			since, unchanged = now, false
 		}
-		out[n] = at
-		b.listed[n] = now
+		detached[n] = since
+		set.listed[n] = now
 	}
-	b.out = out
-	b.gen.Store(s.Generation)
-	if !same {
-		for _, ch := range b.subs {
+	set.detached = detached
+	set.generation.Store(state.Generation)
+	if !unchanged {
+		for _, ch := range set.subscribers {
 			select {
 			case ch <- struct{}{}:
 			default:
@@ -187,53 +187,55 @@
 	return true
 }
 
-// The form of an encoded state: magic, generation, count, then each name as a length and its
-// bytes, and a CRC-32 (Castagnoli) of all before it.
+// magic begins an encoded state. The generation (8 bytes), the number of names (4 bytes) and each
+// name with its length (2 bytes) follow, then a CRC-32 (Castagnoli) of everything before it.
+// Integers are big-endian.
 const magic = "tinroute-hand/1\n"
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode writes a state down for a successor.
-func Encode(s State) []byte {
-	b := append([]byte(magic), make([]byte, 12)...)
-	binary.BigEndian.PutUint64(b[len(magic):], s.Generation)
-	binary.BigEndian.PutUint32(b[len(magic)+8:], uint32(len(s.Detached)))
-	for _, n := range s.Detached {
-		b = binary.BigEndian.AppendUint16(b, uint16(len(n)))
-		b = append(b, n...)
+// Encode returns the binary encoding of a state.
+func Encode(state State) []byte {
+	data := append([]byte(magic), make([]byte, 12)...)
+	binary.BigEndian.PutUint64(data[len(magic):], state.Generation)
+	binary.BigEndian.PutUint32(data[len(magic)+8:], uint32(len(state.Detached)))
+	for _, n := range state.Detached {
+		data = binary.BigEndian.AppendUint16(data, uint16(len(n)))
+		data = append(data, n...)
 	}
-	return binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	return binary.BigEndian.AppendUint32(data, crc32.Checksum(data, castagnoli))
 }
 
-// Decode reads what Encode wrote. A torn, damaged or foreign text is an error.
-func Decode(b []byte) (State, error) {
-	var s State
-	if len(b) < len(magic)+12+4 || string(b[:len(magic)]) != magic {
-		return s, errors.New("not a state of hand bans")
+// Decode decodes a state encoded by Encode. It returns an error for truncated, damaged or foreign
+// data.
+func Decode(data []byte) (State, error) {
+	var state State
+	if len(data) < len(magic)+12+4 || string(data[:len(magic)]) != magic {
+		return state, errors.New("not a list of detached workers")
 	}
-	body, sum := b[:len(b)-4], binary.BigEndian.Uint32(b[len(b)-4:])
+	body, sum := data[:len(data)-4], binary.BigEndian.Uint32(data[len(data)-4:])
 	if crc32.Checksum(body, castagnoli) != sum {
-		return s, errors.New("checksum does not match: torn or damaged")
+		return state, errors.New("checksum mismatch: the data is truncated or damaged")
 	}
-	s.Generation = binary.BigEndian.Uint64(body[len(magic):])
+	state.Generation = binary.BigEndian.Uint64(body[len(magic):])
 	n := int(binary.BigEndian.Uint32(body[len(magic)+8:]))
 	rest := body[len(magic)+12:]
 	if n > MaxDetached {
-		return State{}, errors.New("more names than a book holds")
+		return State{}, errors.New("too many names")
 	}
 	for range n {
 		if len(rest) < 2 {
-			return State{}, errors.New("cut short")
+			return State{}, errors.New("truncated list of names")
 		}
-		l := int(binary.BigEndian.Uint16(rest))
-		if l == 0 || l > MaxNameBytes || len(rest) < 2+l {
-			return State{}, errors.New("a name out of bounds")
+		size := int(binary.BigEndian.Uint16(rest))
+		if size == 0 || size > MaxNameBytes || len(rest) < 2+size {
+			return State{}, errors.New("name is empty, too long or truncated")
 		}
-		s.Detached = append(s.Detached, strings.Clone(string(rest[2:2+l])))
-		rest = rest[2+l:]
+		state.Detached = append(state.Detached, strings.Clone(string(rest[2:2+size])))
+		rest = rest[2+size:]
 	}
 	if len(rest) != 0 {
-		return State{}, errors.New("bytes after the last name")
+		return State{}, errors.New("unexpected bytes after the last name")
 	}
-	return s, nil
+	return state, nil
 }
