--- a/cmd/tinroute/recovery_test.go
+++ b/cmd/tinroute/recovery_test.go
@@ -27,8 +27,8 @@
 	failed := atomic.Int64{}
 	now := time.Duration(time.Now().UnixNano())
 	for range jobs {
-		id := store.Number()
-		store.Put(&jobstore.Job{ID: id, Handle: fmt.Sprint("H:n0:", id), Function: "safe", Data: []byte(strings.Repeat("d", 64)), Accepted: now},
+		id := store.NextID()
+		store.Put(&jobstore.Job{ID: id, Handle: fmt.Sprint("H:n0:", id), Function: "safe", Data: []byte(strings.Repeat("d", 64)), AcceptedAt: now},
 			&jobstore.State{Due: now}, func(err error) {
 				if err != nil {
 					failed.Add(1)
--- a/internal/background/loop.go
+++ b/internal/background/loop.go
@@ -108,16 +108,16 @@
 }
 
 // planInput returns the description of a job for the planner.
-func (s *Scheduler) planInput(stored *jobstore.Stored, class *balance.Class) *recovery.Job {
+func (s *Scheduler) planInput(stored *jobstore.StoredJob, class *balance.Class) *recovery.Job {
 	input := &recovery.Job{Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow,
-		EligibleAt: stored.Job.Accepted, Offers: stored.State.Offers, Sends: stored.State.Sends, HistoryUnknown: stored.Lost}
-	if stored.Job.Timed {
+		EligibleAt: stored.Job.AcceptedAt, Offers: stored.State.Offers, Sends: stored.State.Sends, HistoryUnknown: stored.StateLost}
+	if stored.Job.DueSetByClient {
 		input.EligibleAt = max(input.EligibleAt, stored.State.Due)
 	}
-	input.EligibleAt = max(input.EligibleAt, stored.State.Released)
-	if first := stored.State.First; first != nil {
+	input.EligibleAt = max(input.EligibleAt, stored.State.ReleasedAt)
+	if first := stored.State.FirstSend; first != nil {
 		input.FirstSend = &recovery.Send{Zone: first.Zone, Cell: first.Cell, At: first.At}
-		input.HistoryUnknown = input.HistoryUnknown || s.opts.Store.ClockBack() && first.At < s.startedAt
+		input.HistoryUnknown = input.HistoryUnknown || s.opts.Store.ClockSetBack() && first.At < s.startedAt
 	}
 	return input
 }
@@ -177,13 +177,13 @@
 	}
 	stored, err := s.opts.Store.Get(id)
 	switch {
-	case errors.Is(err, jobstore.ErrUnknown) || err == nil && stored.State.Dead != "": // it has already ended
+	case errors.Is(err, jobstore.ErrNotFound) || err == nil && stored.State.DeadReason != "": // it has already ended
 		s.server.JobNotFound(p.handle)
 		return
 	case err != nil: // the store has logged it
 		return
 	}
-	if stored.State.Timed && stored.State.Due > time.Duration(s.opts.WallClock().UnixNano()) {
+	if stored.State.DueSetByClient && stored.State.Due > time.Duration(s.opts.WallClock().UnixNano()) {
 		return
 	}
 	job = &activeJob{stored: stored}
@@ -231,7 +231,7 @@
 		s.deadLetter(job, decision.Reason)
 	default:
 		s.writeWithRetry(ended.id, func(done func(error)) {
-			s.opts.Store.Change(ended.id, func(state *jobstore.State) {
+			s.opts.Store.UpdateState(ended.id, func(state *jobstore.State) {
 				state.Offers++
 				reschedule(state, due)
 			}, done)
@@ -242,10 +242,10 @@
 // reschedule sets the time of a job's next offer, by the scheduler's own clock. The expiry still
 // counts from the time that the client scheduled.
 func reschedule(state *jobstore.State, due time.Duration) {
-	if state.Timed {
-		state.Released = state.Due
+	if state.DueSetByClient {
+		state.ReleasedAt = state.Due
 	}
-	state.Due, state.Timed = due, false
+	state.Due, state.DueSetByClient = due, false
 }
 
 // deadLetter makes a job a dead letter.
@@ -253,21 +253,21 @@
 	now, id := s.Now(), job.stored.Job.ID
 	s.mu.Lock()
 	job.finished = true
-	job.stored.State.Dead = reason
+	job.stored.State.DeadReason = reason
 	s.counts.DeadLettered++
 	s.mu.Unlock()
 	s.opts.Log.Warn("background job moved to the dead letters", "handle", job.stored.Job.Handle,
 		"function", job.stored.Job.Function, "why", reason)
 	s.server.DeadLettered(job.stored, reason)
-	lost, state := job.stored.Lost, *job.stored.State
+	lost, state := job.stored.StateLost, *job.stored.State
 	s.writeWithRetry(id, func(done func(error)) {
 		if lost { // its state was unreadable: write a new record
 			record := *job.stored.Job
-			state.Since = now
-			s.opts.Store.Rewrite(&record, &state, done)
+			state.DeadSince = now
+			s.opts.Store.ReplaceLostState(&record, &state, done)
 			return
 		}
-		s.opts.Store.Change(id, func(state *jobstore.State) { state.Dead, state.Since = reason, now }, done)
+		s.opts.Store.UpdateState(id, func(state *jobstore.State) { state.DeadReason, state.DeadSince = reason, now }, done)
 	})
 }
 
@@ -277,7 +277,7 @@
 func (s *Scheduler) writeWithRetry(id uint64, change func(done func(error))) {
 	change(func(err error) {
 		s.mu.Lock()
-		if err != nil && !errors.Is(err, jobstore.ErrUnknown) && !errors.Is(err, jobstore.ErrClosed) {
+		if err != nil && !errors.Is(err, jobstore.ErrNotFound) && !errors.Is(err, jobstore.ErrClosed) {
 			s.failedWrites = append(s.failedWrites, func() { s.writeWithRetry(id, change) })
 		} else {
 			delete(s.active, id)
--- a/internal/background/operator.go
+++ b/internal/background/operator.go
@@ -8,7 +8,7 @@
 // Cancel removes a job in any state and blocks until that is on disk. If the job is offered, the
 // job server must cancel its request; OfferEnded need not be called for it.
 func (s *Scheduler) Cancel(handle string) error {
-	stored, err := s.opts.Store.Handle(handle)
+	stored, err := s.opts.Store.ByHandle(handle)
 	if err != nil {
 		return err
 	}
@@ -35,17 +35,17 @@
 // Release makes a dead letter due again with a cleared history. The operator who releases it
 // confirms that running it again does no harm. It blocks until the change is on disk.
 func (s *Scheduler) Release(handle string) error {
-	stored, err := s.opts.Store.Handle(handle)
+	stored, err := s.opts.Store.ByHandle(handle)
 	if err != nil {
 		return err
 	}
-	if stored.State.Dead == "" {
-		return jobstore.ErrUnknown
+	if stored.State.DeadReason == "" {
+		return jobstore.ErrNotFound
 	}
 	now := s.Now()
 	err = writeAndWait(func(done func(error)) {
-		s.opts.Store.Change(stored.Job.ID, func(state *jobstore.State) {
-			*state = jobstore.State{ID: state.ID, Rev: state.Rev, Due: now, Released: now}
+		s.opts.Store.UpdateState(stored.Job.ID, func(state *jobstore.State) {
+			*state = jobstore.State{ID: state.ID, Revision: state.Revision, Due: now, ReleasedAt: now}
 		}, done)
 	})
 	s.wakeUp()
@@ -56,7 +56,7 @@
 func (s *Scheduler) ReleaseAll() (n int, err error) {
 	for {
 		var handles []string
-		if err := s.opts.Store.List(true, pageSize, func(stored *jobstore.Stored) { handles = append(handles, stored.Job.Handle) }); err != nil {
+		if err := s.opts.Store.List(true, pageSize, func(stored *jobstore.StoredJob) { handles = append(handles, stored.Job.Handle) }); err != nil {
 			return n, err
 		}
 		if len(handles) == 0 {
--- a/internal/background/scheduler.go
+++ b/internal/background/scheduler.go
@@ -34,12 +34,12 @@
 type JobServer interface {
 	// Offer submits a job; prior is an earlier attempt that may have run, or nil. The job server
 	// calls Scheduler.OfferEnded once for it.
-	Offer(stored *jobstore.Stored, prior *balance.PriorAttempt)
+	Offer(stored *jobstore.StoredJob, prior *balance.PriorAttempt)
 	// Withdraw cancels an offer that has not been sent. OfferEnded is not called for it.
-	Withdraw(stored *jobstore.Stored)
+	Withdraw(stored *jobstore.StoredJob)
 	// DeadLettered reports that a job became a dead letter. The job server answers clients that
 	// wait for it.
-	DeadLettered(stored *jobstore.Stored, reason string)
+	DeadLettered(stored *jobstore.StoredJob, reason string)
 	// JobNotFound reports that a job which the job server wanted promoted had already ended.
 	JobNotFound(handle string)
 	// Class returns the class of a function, or nil if it is no longer served.
@@ -86,7 +86,7 @@
 
 // activeJob is a job that the scheduler is handling.
 type activeJob struct {
-	stored   *jobstore.Stored
+	stored   *jobstore.StoredJob
 	offered  bool // an offer has not ended
 	sent     bool // this offer has left the policy's queue
 	finished bool // cancelled, or ended and its end is being written
@@ -122,7 +122,7 @@
 func (s *Scheduler) Admit(size int) error { return s.opts.Store.Admit(size) }
 
 // NextID returns a new job ID.
-func (s *Scheduler) NextID() uint64 { return s.opts.Store.Number() }
+func (s *Scheduler) NextID() uint64 { return s.opts.Store.NextID() }
 
 // Now returns the time by the clock that the scheduler's own due times use.
 func (s *Scheduler) Now() time.Duration { return s.opts.Clock.Now() }
@@ -137,7 +137,7 @@
 	if offered {
 		s.mu.Lock()
 		copied := *state
-		s.active[record.ID] = &activeJob{stored: &jobstore.Stored{Job: record, State: &copied}, offered: true, sent: state.Sends > 0}
+		s.active[record.ID] = &activeJob{stored: &jobstore.StoredJob{Job: record, State: &copied}, offered: true, sent: state.Sends > 0}
 		s.pacer.Offered(s.Now())
 		if state.Sends > 0 {
 			s.pacer.Sent()
@@ -196,7 +196,7 @@
 func (s *Scheduler) Drain() {
 	s.mu.Lock()
 	s.draining = true
-	var withdrawn []*jobstore.Stored
+	var withdrawn []*jobstore.StoredJob
 	for _, job := range s.active {
 		if job.offered && !job.sent && !job.finished {
 			withdrawn = append(withdrawn, job.stored)
--- a/internal/background/scheduler_test.go
+++ b/internal/background/scheduler_test.go
@@ -32,13 +32,13 @@
 	defer server.mu.Unlock()
 	g()
 }
-func (server *fakeServer) Offer(stored *jobstore.Stored, _ *balance.PriorAttempt) {
+func (server *fakeServer) Offer(stored *jobstore.StoredJob, _ *balance.PriorAttempt) {
 	server.locked(func() { server.offers = append(server.offers, stored.Job.ID) })
 }
-func (server *fakeServer) Withdraw(stored *jobstore.Stored) {
+func (server *fakeServer) Withdraw(stored *jobstore.StoredJob) {
 	server.locked(func() { server.withdrawn = append(server.withdrawn, stored.Job.ID) })
 }
-func (server *fakeServer) DeadLettered(stored *jobstore.Stored, reason string) {
+func (server *fakeServer) DeadLettered(stored *jobstore.StoredJob, reason string) {
 	server.locked(func() { server.deadLettered[stored.Job.ID] = reason })
 }
 func (server *fakeServer) JobNotFound(handle string) {
@@ -66,7 +66,7 @@
 	fx := &fixture{server: &fakeServer{deadLettered: map[uint64]string{}}}
 	fx.wallClock.Store(time.Now().UnixNano())
 	clock := dispatch.NewClock()
-	store, err := jobstore.Open(jobstore.Options{Path: filepath.Join(t.TempDir(), "jobs"), Now: clock.Now, Commit: func() error {
+	store, err := jobstore.Open(jobstore.Options{Path: filepath.Join(t.TempDir(), "jobs"), Now: clock.Now, BeforeCommit: func() error {
 		if fx.diskFull.Load() {
 			return errDisk
 		}
@@ -86,10 +86,10 @@
 	id, now := fx.NextID(), fx.Now()
 	state := &jobstore.State{Due: now}
 	if !due.IsZero() {
-		state.Due, state.Timed = time.Duration(due.UnixNano()), true
+		state.Due, state.DueSetByClient = time.Duration(due.UnixNano()), true
 	}
 	done := make(chan error, 1)
-	fx.Accept(&jobstore.Job{ID: id, Handle: fmt.Sprint("h", id), Function: "f", Accepted: now, Timed: state.Timed}, state, false, func(err error) { done <- err })
+	fx.Accept(&jobstore.Job{ID: id, Handle: fmt.Sprint("h", id), Function: "f", AcceptedAt: now, DueSetByClient: state.DueSetByClient}, state, false, func(err error) { done <- err })
 	require.NoError(t, <-done)
 	return id
 }
@@ -107,10 +107,10 @@
 	id := fx.accept(t, time.Time{})
 	eventually(t, "offered", func() bool { return fx.server.offerCount() == 1 })
 	fx.diskFull.Store(true)
-	require.ErrorIs(t, fx.RecordSend(t.Context(), id, jobstore.Send{Region: "a", At: fx.Now()}), errDisk)
+	require.ErrorIs(t, fx.RecordSend(t.Context(), id, jobstore.Send{WorkerName: "a", At: fx.Now()}), errDisk)
 	require.ErrorIs(t, fx.Admit(1), jobstore.ErrUnavailable, "new jobs are rejected at once")
 	fx.diskFull.Store(false)
-	require.NoError(t, fx.RecordSend(t.Context(), id, jobstore.Send{Region: "a", At: fx.Now()}))
+	require.NoError(t, fx.RecordSend(t.Context(), id, jobstore.Send{WorkerName: "a", At: fx.Now()}))
 	fx.diskFull.Store(true)
 	fx.OfferEnded(id, recovery.OutcomeServed, 0)
 	time.Sleep(3 * writeRetryInterval / 2)
@@ -159,9 +159,9 @@
 	require.NoError(t, fx.Release("h1"))
 	eventually(t, "released", func() bool { return fx.server.offerCount() == 4 })
 	require.NoError(t, fx.Cancel("h1"))
-	require.ErrorIs(t, fx.Cancel("h1"), jobstore.ErrUnknown)
+	require.ErrorIs(t, fx.Cancel("h1"), jobstore.ErrNotFound)
 	fx.OfferEnded(id, recovery.OutcomeServed, 0)
-	require.ErrorIs(t, fx.RecordSend(t.Context(), id, jobstore.Send{}), jobstore.ErrUnknown, "a cancelled job must not be sent")
+	require.ErrorIs(t, fx.RecordSend(t.Context(), id, jobstore.Send{}), jobstore.ErrNotFound, "a cancelled job must not be sent")
 	require.Zero(t, fx.Store().Counts().Jobs)
 }
 
@@ -170,12 +170,12 @@
 	fx := newFixture(t)
 	served, offered := fx.accept(t, time.Time{}), fx.accept(t, time.Time{})
 	eventually(t, "one offered", func() bool { return fx.server.offerCount() == 1 }) // the window begins at one
-	require.NoError(t, fx.RecordSend(t.Context(), served, jobstore.Send{Region: "a"}))
+	require.NoError(t, fx.RecordSend(t.Context(), served, jobstore.Send{WorkerName: "a"}))
 	fx.OfferEnded(served, recovery.OutcomeServed, 0)
 	eventually(t, "the other offered", func() bool { return fx.server.offerCount() == 2 })
 	fx.Drain()
 	fx.server.locked(func() { require.Equal(t, []uint64{offered}, fx.server.withdrawn) })
-	require.ErrorIs(t, fx.RecordSend(t.Context(), offered, jobstore.Send{Region: "a"}), ErrDraining)
+	require.ErrorIs(t, fx.RecordSend(t.Context(), offered, jobstore.Send{WorkerName: "a"}), ErrDraining)
 	fx.accept(t, time.Time{})
 	time.Sleep(100 * time.Millisecond)
 	require.Equal(t, 2, fx.server.offerCount())
--- a/internal/background/send_records.go
+++ b/internal/background/send_records.go
@@ -15,7 +15,7 @@
 	switch {
 	case job == nil || job.finished:
 		s.mu.Unlock()
-		return jobstore.ErrUnknown
+		return jobstore.ErrNotFound
 	case s.draining && !job.sent:
 		s.mu.Unlock()
 		return ErrDraining
@@ -27,7 +27,7 @@
 	}
 	s.mu.Unlock()
 	written := make(chan error, 1)
-	s.opts.Store.Change(id, func(state *jobstore.State) { addSend(state, send) }, func(err error) { written <- err })
+	s.opts.Store.UpdateState(id, func(state *jobstore.State) { addSend(state, send) }, func(err error) { written <- err })
 	select {
 	case err := <-written:
 		return err
@@ -40,10 +40,10 @@
 func addSend(state *jobstore.State, send jobstore.Send) {
 	state.Sends++
 	send.Attempt = state.Sends
-	if state.First == nil {
-		state.First = &send
+	if state.FirstSend == nil {
+		state.FirstSend = &send
 	}
-	state.Last = &send
+	state.LastSend = &send
 }
 
 // RetractSend retracts the record of a send whose outcome proves that it did not run. It retracts
@@ -52,7 +52,7 @@
 	s.mu.Lock()
 	job := s.active[id]
 	tracked := false
-	if job != nil && job.stored.State.First != nil {
+	if job != nil && job.stored.State.FirstSend != nil {
 		class := s.server.Class(job.stored.Job.Function)
 		if tracked = class != nil && class.Idempotency != balance.Idempotent; tracked {
 			retractLastSend(job.stored.State)
@@ -60,13 +60,13 @@
 	}
 	s.mu.Unlock()
 	if tracked {
-		s.opts.Store.Change(id, retractLastSend, nil)
+		s.opts.Store.UpdateState(id, retractLastSend, nil)
 	}
 }
 
 // retractLastSend removes the first send from a job's state if it is also the latest.
 func retractLastSend(state *jobstore.State) {
-	if state.First != nil && state.Last != nil && state.First.Attempt == state.Last.Attempt {
-		state.First = nil
+	if state.FirstSend != nil && state.LastSend != nil && state.FirstSend.Attempt == state.LastSend.Attempt {
+		state.FirstSend = nil
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -193,16 +193,16 @@
 		return func() {}, func() {}
 	}
 	clock := dispatch.NewClock()
-	store, err := jobstore.Open(jobstore.Options{Path: cfg.Store.Path, MaxJobs: cfg.Store.MaxJobs, MaxBytes: cfg.Store.MaxBytes,
-		MaxFile: cfg.Store.MaxFileBytes, Now: clock.Now, Log: log})
+	store, err := jobstore.Open(jobstore.Options{Path: cfg.Store.Path, MaxJobs: cfg.Store.MaxJobs, MaxDataBytes: cfg.Store.MaxBytes,
+		MaxFileBytes: cfg.Store.MaxFileBytes, Now: clock.Now, Log: log})
 	if err != nil {
 		log.Error("cannot open the job store; background jobs are unavailable", "file", cfg.Store.Path, "err", err)
 		options.StoreErr = err
 		return func() {}, func() {}
 	}
 	counts := store.Counts()
-	log.Info("job store opened", "file", cfg.Store.Path, "jobs", counts.Jobs-counts.Dead, "dead", counts.Dead, "damaged", counts.Damaged, "bytes", counts.File)
-	if store.ClockBack() {
+	log.Info("job store opened", "file", cfg.Store.Path, "jobs", counts.Jobs-counts.Dead, "dead", counts.Dead, "damaged", counts.Damaged, "bytes", counts.FileBytes)
+	if store.ClockSetBack() {
 		log.Warn("system clock was set back", "file", cfg.Store.Path)
 	}
 	var scheduler *background.Scheduler
--- a/internal/gearman/background.go
+++ b/internal/gearman/background.go
@@ -64,9 +64,9 @@
 	state := j.storeState(id)
 	s.mu.Unlock()
 	now := s.scheduler.Now()
-	record := &jobstore.Job{ID: id, Handle: j.handle, Function: j.function, Unique: j.unique, Data: []byte(j.data), Accepted: now}
+	record := &jobstore.Job{ID: id, Handle: j.handle, Function: j.function, UniqueID: j.unique, Data: []byte(j.data), AcceptedAt: now}
 	if state.Due = now; !due.IsZero() && !offered {
-		record.Timed, state.Timed, state.Due = true, true, time.Duration(due.UnixNano())
+		record.DueSetByClient, state.DueSetByClient, state.Due = true, true, time.Duration(due.UnixNano())
 	}
 	s.scheduler.Accept(record, state, offered, func(err error) { s.jobStored(j, err) })
 }
--- a/internal/gearman/job.go
+++ b/internal/gearman/job.go
@@ -38,7 +38,7 @@
 func (j *job) recordSend(ctx context.Context, attempt *dispatch.Attempt) error {
 	j.mu.Lock()
 	id := j.storeID
-	send := jobstore.Send{Region: attempt.Worker.Name, Worker: attempt.Worker.ID,
+	send := jobstore.Send{WorkerName: attempt.Worker.Name, WorkerID: attempt.Worker.ID,
 		Zone: attempt.Worker.Zone, Cell: attempt.Worker.Cell}
 	if scheduler := j.server.scheduler; scheduler != nil {
 		send.At = scheduler.Now()
@@ -78,7 +78,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.storeID = id
-	return &jobstore.State{Sends: j.sends, First: j.firstSend, Last: j.lastSend}
+	return &jobstore.State{Sends: j.sends, FirstSend: j.firstSend, LastSend: j.lastSend}
 }
 
 func (j *job) currentStoreID() uint64 {
--- a/internal/gearman/status.go
+++ b/internal/gearman/status.go
@@ -16,7 +16,7 @@
 	}
 	c.mu.Unlock()
 	if entry == nil && c.scheduler != nil {
-		if stored, err := c.scheduler.Store().Handle(handle); err == nil && stored.State.Dead == "" {
+		if stored, err := c.scheduler.Store().ByHandle(handle); err == nil && stored.State.DeadReason == "" {
 			known = "1"
 		}
 	}
@@ -36,7 +36,7 @@
 	c.mu.Unlock()
 	if entry == nil && c.scheduler != nil {
 		for function := range c.config.Functions {
-			if stored, err := c.scheduler.Store().Unique(function, unique); err == nil && stored.State.Dead == "" {
+			if stored, err := c.scheduler.Store().ByUniqueID(function, unique); err == nil && stored.State.DeadReason == "" {
 				known = "1"
 			}
 		}
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -12,14 +12,14 @@
 
 // reopenStored returns the open job of a stored job, and adds it to the index if it is not there.
 // s.mu must be held.
-func (s *Server) reopenStored(stored *jobstore.Stored) *job {
+func (s *Server) reopenStored(stored *jobstore.StoredJob) *job {
 	record := stored.Job
 	if entry := s.index.ByHandle(record.Handle); entry != nil {
 		return entry.Payload.(*job)
 	}
-	j := &job{server: s, handle: record.Handle, function: record.Function, unique: record.Unique,
+	j := &job{server: s, handle: record.Handle, function: record.Function, unique: record.UniqueID,
 		data: string(record.Data), storeID: record.ID}
-	unique := record.Unique
+	unique := record.UniqueID
 	if s.index.ByKey(record.Function, unique) != nil { // a later job took the unique ID while this one was a dead letter
 		unique = ""
 	}
@@ -29,7 +29,7 @@
 }
 
 // Offer submits a stored job to the dispatcher.
-func (s *Server) Offer(stored *jobstore.Stored, prior *balance.PriorAttempt) {
+func (s *Server) Offer(stored *jobstore.StoredJob, prior *balance.PriorAttempt) {
 	s.mu.Lock()
 	if s.draining { // the scheduler had chosen the job before it was told to drain
 		s.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 // Withdraw cancels the request of an offer that has not been sent.
-func (s *Server) Withdraw(stored *jobstore.Stored) {
+func (s *Server) Withdraw(stored *jobstore.StoredJob) {
 	s.mu.Lock()
 	var request *dispatch.Request
 	if entry := s.index.ByHandle(stored.Job.Handle); entry != nil {
@@ -68,7 +68,7 @@
 }
 
 // DeadLettered sends a failure to the clients that wait for a job which became a dead letter.
-func (s *Server) DeadLettered(stored *jobstore.Stored, reason string) {
+func (s *Server) DeadLettered(stored *jobstore.StoredJob, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if entry := s.index.ByHandle(stored.Job.Handle); entry != nil {
@@ -128,7 +128,7 @@
 		j := entry.Payload.(*job)
 		if j.storeCallbacks != nil { // still being written: its submitters have not been answered yet
 			s.mu.Unlock()
-			return jobstore.ErrUnknown
+			return jobstore.ErrNotFound
 		}
 		background = entry.Background
 		request, j.request = j.request, nil
@@ -143,7 +143,7 @@
 		return nil
 	}
 	if s.scheduler == nil {
-		return jobstore.ErrUnknown
+		return jobstore.ErrNotFound
 	}
 	return s.scheduler.Cancel(handle)
 }
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -140,7 +140,7 @@
 
 // findStored returns the stored job with the function and unique ID of a submission, or nil if
 // there is none or the job is open. It reads from disk.
-func (s *Server) findStored(j *job) *jobstore.Stored {
+func (s *Server) findStored(j *job) *jobstore.StoredJob {
 	if s.scheduler == nil || j.unique == "" {
 		return nil
 	}
@@ -150,7 +150,7 @@
 	if open {
 		return nil
 	}
-	if stored, err := s.scheduler.Store().Unique(j.function, j.unique); err == nil && stored.State.Dead == "" {
+	if stored, err := s.scheduler.Store().ByUniqueID(j.function, j.unique); err == nil && stored.State.DeadReason == "" {
 		return stored
 	}
 	return nil
@@ -161,7 +161,7 @@
 	if s.scheduler == nil {
 		return 0
 	}
-	return s.scheduler.Store().Function(function)
+	return s.scheduler.Store().FunctionCount(function)
 }
 
 // submitForeground accepts a job that the client waits for. If a job with the same function and
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -202,9 +202,9 @@
 	}
 	s.mu.Unlock()
 	if s.scheduler != nil && remaining > 0 {
-		_ = s.scheduler.Store().List(false, remaining, func(stored *jobstore.Stored) {
+		_ = s.scheduler.Store().List(false, remaining, func(stored *jobstore.StoredJob) {
 			if !seen[stored.Job.Handle] && remaining > 0 {
-				line(stored.Job.Handle, stored.Job.Unique, stored.State.Offers, true)
+				line(stored.Job.Handle, stored.Job.UniqueID, stored.State.Offers, true)
 			}
 		})
 	}
@@ -218,13 +218,13 @@
 		return errNoStore
 	}
 	b := &strings.Builder{}
-	err := s.scheduler.Store().List(true, maxListLines, func(stored *jobstore.Stored) {
-		at, worker := time.Unix(0, int64(stored.State.Since)).UTC().Format(time.RFC3339), "-"
-		if stored.State.First != nil {
-			worker = stored.State.First.Region
+	err := s.scheduler.Store().List(true, maxListLines, func(stored *jobstore.StoredJob) {
+		at, worker := time.Unix(0, int64(stored.State.DeadSince)).UTC().Format(time.RFC3339), "-"
+		if stored.State.FirstSend != nil {
+			worker = stored.State.FirstSend.WorkerName
 		}
-		fmt.Fprintf(b, "%s\t%s\t%s\t%s\t%s\t%d\t%s\r\n", stored.Job.Handle, stored.Job.Function, replaceControls(stored.Job.Unique),
-			stored.State.Dead, at, stored.State.Sends, worker)
+		fmt.Fprintf(b, "%s\t%s\t%s\t%s\t%s\t%d\t%s\r\n", stored.Job.Handle, stored.Job.Function, replaceControls(stored.Job.UniqueID),
+			stored.State.DeadReason, at, stored.State.Sends, worker)
 	})
 	if err != nil {
 		return fmt.Sprintf(errStore, plusEncoded(err))
@@ -253,7 +253,7 @@
 // not on disk and has not taken effect.
 func storeResponse(err error) string {
 	switch {
-	case errors.Is(err, jobstore.ErrUnknown):
+	case errors.Is(err, jobstore.ErrNotFound):
 		return errUnknownJob
 	case err != nil:
 		return fmt.Sprintf(errStore, plusEncoded(err))
@@ -273,8 +273,8 @@
 	}
 	return fmt.Sprintf("state\t%s\r\njobs\t%d\r\ndead\t%d\r\ndamaged\t%d\r\nbytes\t%d\r\nfile\t%d\r\nfree\t%d\r\ncommits\t%d\r\nwrites\t%d\r\n"+
 		"offered\t%d\r\nserved\t%d\r\nretried\t%d\r\nburied\t%d\r\nwindow\t%d\r\ncuts\t%d\r\n",
-		state, storeCounts.Jobs, storeCounts.Dead, storeCounts.Damaged, storeCounts.Bytes,
-		storeCounts.File, storeCounts.Free, storeCounts.Commits, storeCounts.Writes,
+		state, storeCounts.Jobs, storeCounts.Dead, storeCounts.Damaged, storeCounts.DataBytes,
+		storeCounts.FileBytes, storeCounts.FreeBytes, storeCounts.Commits, storeCounts.Writes,
 		totals.Offered, totals.Served, totals.Retried, totals.DeadLettered, totals.Window, totals.Cuts) + textEnd
 }
 
--- a/internal/hook/hook.go
+++ b/internal/hook/hook.go
@@ -1,17 +1,18 @@
-// Package hook runs the operators' own scripts beside the core: Starlark files that the
-// configuration names, without any way to read, write or wait, and bounded in their steps.
+// Package hook runs scripts of the operators on requests and on the outcomes of attempts. Scripts are
+// Starlark files that the configuration lists. They have no access to files, the network or timers,
+// and the number of steps of a call is limited.
 //
 // A file may define
 //
-//	def on_transaction(tx):   # refuse it, or set its tenant or cost; None leaves it alone
+//	def on_transaction(tx):   # refuse a request, or set its tenant or cost; None changes nothing
 //	    return {"refuse": "closed on Sundays", "retry_after_s": 60}
 //	    return {"tenant": "argane-epargne", "cost_s": 0.4}
-//	def on_outcome(task):     # watch how an attempt ended
+//	def on_outcome(task):     # observe the end of an attempt
 //	    print(task.region, task.status)
 //
-// Several files are asked in order, and the first refusal counts. A script that fails is
-// logged and counted, and the request goes on as if it had said nothing. Scripts never
-// choose a worker: that is the balancer's.
+// The files are called in the configured order until one refuses the request. If a script fails, the
+// failure is logged and counted, and the script is treated as if it had returned None. Scripts cannot
+// choose a worker; only the balancer does.
 package hook
 
 import (
@@ -34,14 +35,14 @@
 )
 
 const (
-	// maxSteps bounds one call: some milliseconds on the platform's core.
+	// maxSteps limits the steps of one call, which take some milliseconds on a core of the platform.
 	maxSteps = 100_000
-	// backlog bounds the outcomes that wait for on_outcome; further ones are dropped, so
-	// that a slow script holds up no request.
-	backlog = 256
+	// maxQueuedOutcomes limits the queue for on_outcome. Further outcomes are dropped, so that a
+	// slow script does not delay requests.
+	maxQueuedOutcomes = 256
 )
 
-// Hooks are the loaded scripts. They implement dispatch.Hook and dispatch.Observer.
+// Hooks holds the loaded scripts. It implements dispatch.Hook and dispatch.Observer.
 type Hooks struct {
 	log      *slog.Logger
 	settings *balance.Settings
@@ -49,175 +50,184 @@
 	scripts  []script
 	outcomes chan starlark.Value
 
-	failed  atomic.Int64
-	dropped atomic.Int64
+	failures atomic.Int64
+	dropped  atomic.Int64
 }
 
 type script struct {
-	file                 string
-	transaction, outcome starlark.Callable // nil where the file defines none
+	file                     string
+	onTransaction, onOutcome starlark.Callable // nil if the file does not define it
 }
 
-// Load reads the files. Without any it returns nil.
-func Load(files []string, s *balance.Settings, names *config.Names, log *slog.Logger) (*Hooks, error) {
+// Load loads script files. It returns nil if there are none.
+func Load(files []string, settings *balance.Settings, names *config.Names, log *slog.Logger) (*Hooks, error) {
 	if len(files) == 0 {
 		return nil, nil
 	}
-	h := &Hooks{log: log, settings: s, names: names, outcomes: make(chan starlark.Value, backlog)}
+	h := &Hooks{log: log, settings: settings, names: names, outcomes: make(chan starlark.Value, maxQueuedOutcomes)}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return nil, fmt.Errorf("hooks: %w", err)
 		}
-		if err := h.add(file, text); err != nil {
+		if err := h.addScript(file, text); err != nil {
 			return nil, fmt.Errorf("hooks: %w", err)
 		}
 	}
 	return h, nil
 }
 
-func (h *Hooks) add(file string, text []byte) error {
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, h.thread(file), file, text, nil)
+// addScript executes a file and keeps the hook functions that it defines.
+func (h *Hooks) addScript(file string, text []byte) error {
+	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{}, h.newThread(file), file, text, nil)
 	if err != nil {
 		return err
 	}
-	globals.Freeze() // calls run side by side, and must not tell each other anything
-	sc := script{file: file}
-	for name, to := range map[string]*starlark.Callable{"on_transaction": &sc.transaction, "on_outcome": &sc.outcome} {
-		if f := globals[name]; f != nil {
+	globals.Freeze() // calls run concurrently and must not share mutable state
+	loaded := script{file: file}
+	for name, target := range map[string]*starlark.Callable{"on_transaction": &loaded.onTransaction, "on_outcome": &loaded.onOutcome} {
+		if value := globals[name]; value != nil {
 			var ok bool
-			if *to, ok = f.(starlark.Callable); !ok {
+			if *target, ok = value.(starlark.Callable); !ok {
 				return fmt.Errorf("%s: %s is not a function", file, name)
 			}
 		}
 	}
-	if sc.transaction == nil && sc.outcome == nil {
+	if loaded.onTransaction == nil && loaded.onOutcome == nil {
 		return fmt.Errorf("%s: defines neither on_transaction nor on_outcome", file)
 	}
-	h.scripts = append(h.scripts, sc)
+	h.scripts = append(h.scripts, loaded)
 	return nil
 }
 
-// thread is what one call runs on. It has no load, so a script reaches nothing but what
-// the language itself holds.
-func (h *Hooks) thread(file string) *starlark.Thread {
+// newThread returns a thread for one call. It has no load function, so a script can use only the
+// built-in functions of the language.
+func (h *Hooks) newThread(file string) *starlark.Thread {
 	t := &starlark.Thread{Name: file, Print: func(_ *starlark.Thread, text string) {
-		h.log.Info("hook says", "file", file, "text", text)
+		h.log.Info("hook script printed", "file", file, "text", text)
 	}}
 	t.SetMaxExecutionSteps(maxSteps)
 	return t
 }
 
-// call runs a function of a script; a failure is logged and counted, and says nothing.
-func (h *Hooks) call(file string, f starlark.Callable, arg starlark.Value) starlark.Value {
-	v, err := starlark.Call(h.thread(file), f, starlark.Tuple{arg}, nil)
+// call calls a function of a script. After a failure, which it logs and counts, it returns None.
+func (h *Hooks) call(file string, function starlark.Callable, arg starlark.Value) starlark.Value {
+	result, err := starlark.Call(h.newThread(file), function, starlark.Tuple{arg}, nil)
 	if err != nil {
-		h.fail(file, f, err)
+		h.logFailure(file, function, err)
 		return starlark.None
 	}
-	return v
+	return result
 }
 
-func (h *Hooks) fail(file string, f starlark.Callable, err error) {
-	h.log.Warn("hook failed", "file", file, "function", f.Name(), "failures", h.failed.Add(1), "err", err)
+func (h *Hooks) logFailure(file string, function starlark.Callable, err error) {
+	h.log.Warn("hook script failed; ignoring its result", "file", file, "function", function.Name(), "failures", h.failures.Add(1), "err", err)
 }
 
-// Failed is how many calls have failed.
-func (h *Hooks) Failed() int64 { return h.failed.Load() }
+// FailureCount returns the number of failed calls.
+func (h *Hooks) FailureCount() int64 { return h.failures.Load() }
 
-// OnRequest asks on_transaction of each script.
-func (h *Hooks) OnRequest(tx *dispatch.Request) *dispatch.Answer {
+// OnRequest calls on_transaction of each script until one refuses the request. It returns the
+// refusal, or nil.
+func (h *Hooks) OnRequest(request *dispatch.Request) *dispatch.Answer {
 	for _, s := range h.scripts {
-		if s.transaction == nil {
+		if s.onTransaction == nil {
 			continue
 		}
-		said := h.call(s.file, s.transaction, h.describe(tx))
-		if said == starlark.None {
+		result := h.call(s.file, s.onTransaction, h.requestValue(request))
+		if result == starlark.None {
 			continue
 		}
-		a, err := h.obey(tx, said)
+		answer, err := h.apply(request, result)
 		if err != nil {
-			h.fail(s.file, s.transaction, err)
+			h.logFailure(s.file, s.onTransaction, err)
 		}
-		if a != nil {
-			return a
+		if answer != nil {
+			return answer
 		}
 	}
 	return nil
 }
 
-func (h *Hooks) describe(tx *dispatch.Request) starlark.Value {
+// requestValue returns the argument of on_transaction.
+func (h *Hooks) requestValue(request *dispatch.Request) starlark.Value {
 	tenant := starlark.Value(starlark.None)
-	if tx.Tenant >= 0 {
-		tenant = starlark.String(h.settings.Tenants[tx.Tenant].Name)
+	if request.Tenant >= 0 {
+		tenant = starlark.String(h.settings.Tenants[request.Tenant].Name)
 	}
 	return starlarkstruct.FromStringDict(starlark.String("tx"), starlark.StringDict{
-		"id": starlark.String(tx.ID), "class_name": starlark.String(h.settings.Classes[tx.Class].Name),
-		"tenant": tenant, "key": starlark.String(tx.Key),
-		"patience_s": starlark.Float(tx.Timeout.Seconds()), "cost_s": starlark.Float(tx.WorkHint.Seconds())})
+		"id":         starlark.String(request.ID),
+		"class_name": starlark.String(h.settings.Classes[request.Class].Name),
+		"tenant":     tenant,
+		"key":        starlark.String(request.Key),
+		"patience_s": starlark.Float(request.Timeout.Seconds()),
+		"cost_s":     starlark.Float(request.WorkHint.Seconds())})
 }
 
-// obey does what a script returned, all of it or, if any of it makes no sense, nothing.
-func (h *Hooks) obey(tx *dispatch.Request, said starlark.Value) (*dispatch.Answer, error) {
-	d, ok := said.(*starlark.Dict)
+// apply applies the result of on_transaction to the request. An invalid result changes nothing.
+func (h *Hooks) apply(request *dispatch.Request, result starlark.Value) (*dispatch.Answer, error) {
+	dict, ok := result.(*starlark.Dict)
 	if !ok {
-		return nil, fmt.Errorf("returned %s, not a dict or None", said.Type())
+		return nil, fmt.Errorf("returned %s, not a dict or None", result.Type())
 	}
-	tenant, hint := tx.Tenant, tx.WorkHint
-	var refused *dispatch.Answer
-	var back time.Duration
-	for _, item := range d.Items() {
+	tenant, workHint := request.Tenant, request.WorkHint
+	var refusal *dispatch.Answer
+	var retryAfter time.Duration
+	for _, item := range dict.Items() {
 		key, _ := starlark.AsString(item[0])
 		text, isText := starlark.AsString(item[1])
-		x, isNumber := starlark.AsFloat(item[1])
-		isNumber = isNumber && x >= 0 && x < math.MaxInt32
+		number, isNumber := starlark.AsFloat(item[1])
+		isNumber = isNumber && number >= 0 && number < math.MaxInt32
 		switch {
 		case key == "refuse" && isText:
-			refused = &dispatch.Answer{Verdict: dispatch.Refused, Reason: text}
+			refusal = &dispatch.Answer{Verdict: dispatch.Refused, Reason: text}
 		case key == "retry_after_s" && isNumber:
-			back = time.Duration(x * float64(time.Second))
+			retryAfter = time.Duration(number * float64(time.Second))
 		case key == "cost_s" && isNumber:
-			hint = time.Duration(x * float64(time.Second))
+			workHint = time.Duration(number * float64(time.Second))
 		case key == "tenant" && isText:
 			if tenant, ok = h.names.Tenant[text]; !ok {
-				return nil, fmt.Errorf("tenant: unknown: %q", text)
+				return nil, fmt.Errorf("unknown tenant %q", text)
 			}
 		default:
-			return nil, fmt.Errorf("%s: %s makes no sense", item[0], item[1])
+			return nil, fmt.Errorf("%s: unknown key or invalid value %s", item[0], item[1])
 		}
 	}
-	if refused != nil {
-		refused.RetryAfter = back
-	} else if back > 0 {
+	if refusal != nil {
+		refusal.RetryAfter = retryAfter
+	} else if retryAfter > 0 {
 		return nil, errors.New("retry_after_s without refuse")
 	}
-	tx.Tenant, tx.WorkHint = tenant, hint
-	return refused, nil
+	request.Tenant, request.WorkHint = tenant, workHint
+	return refusal, nil
 }
 
-// AttemptEnded hands the end of an attempt to on_outcome, on a goroutine of its own.
-func (h *Hooks) AttemptEnded(t *dispatch.Attempt, s balance.Status, elapsed time.Duration) {
-	task := starlarkstruct.FromStringDict(starlark.String("task"), starlark.StringDict{
-		"id": starlark.String(t.Request.ID), "class_name": starlark.String(h.settings.Classes[t.Request.Class].Name),
-		"region": starlark.String(t.Worker.Name), "number": starlark.MakeInt(t.Index),
-		"status": starlark.String(s.String()), "elapsed_s": starlark.Float(elapsed.Seconds())})
+// AttemptEnded queues the outcome of an attempt for on_outcome, which Run calls.
+func (h *Hooks) AttemptEnded(attempt *dispatch.Attempt, status balance.Status, elapsed time.Duration) {
+	outcome := starlarkstruct.FromStringDict(starlark.String("task"), starlark.StringDict{
+		"id":         starlark.String(attempt.Request.ID),
+		"class_name": starlark.String(h.settings.Classes[attempt.Request.Class].Name),
+		"region":     starlark.String(attempt.Worker.Name),
+		"number":     starlark.MakeInt(attempt.Index),
+		"status":     starlark.String(status.String()),
+		"elapsed_s":  starlark.Float(elapsed.Seconds())})
 	select {
-	case h.outcomes <- task:
+	case h.outcomes <- outcome:
 	default:
-		if n := h.dropped.Add(1); n == 1 || n%1000 == 0 {
-			h.log.Warn("hook too slow", "outcomes dropped", n)
+		if dropped := h.dropped.Add(1); dropped == 1 || dropped%1000 == 0 {
+			h.log.Warn("hook on_outcome is too slow; dropping outcomes", "outcomes dropped", dropped)
 		}
 	}
 }
 
-// Run calls on_outcome until the context ends.
+// Run calls on_outcome for queued outcomes until the context ends.
 func (h *Hooks) Run(ctx context.Context) {
 	for {
 		select {
-		case task := <-h.outcomes:
+		case outcome := <-h.outcomes:
 			for _, s := range h.scripts {
-				if s.outcome != nil {
-					h.call(s.file, s.outcome, task)
+				if s.onOutcome != nil {
+					h.call(s.file, s.onOutcome, outcome)
 				}
 			}
 		case <-ctx.Done():
@@ -226,7 +236,7 @@
 	}
 }
 
-// RequestStarted does nothing: scripts are told of outcomes alone.
+// RequestStarted does nothing, since scripts observe only the outcomes of attempts.
 func (h *Hooks) RequestStarted(*dispatch.Request) {}
 
 // AttemptSent does nothing.
--- a/internal/jobstore/change.go
+++ b/internal/jobstore/change.go
@@ -9,112 +9,119 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Admit tells at once whether one more job of so many bytes could be taken.
+// Admit reports, without waiting, whether one more job with size bytes of data can be stored.
 func (s *Store) Admit(size int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.broken != nil:
-		return fmt.Errorf("%w: %w", ErrUnavailable, s.broken)
-	case s.why != nil && time.Since(s.failed) < retryAfter:
-		return fmt.Errorf("%w: %w", ErrUnavailable, s.why)
-	case s.o.MaxJobs > 0 && s.jobs >= s.o.MaxJobs, s.o.MaxBytes > 0 && s.bytes+int64(size) > s.o.MaxBytes:
+	case s.damageErr != nil:
+		return fmt.Errorf("%w: %w", ErrUnavailable, s.damageErr)
+	case s.commitErr != nil && time.Since(s.failedAt) < retryDelay:
+		return fmt.Errorf("%w: %w", ErrUnavailable, s.commitErr)
+	case s.opts.MaxJobs > 0 && s.jobCount >= s.opts.MaxJobs,
+		s.opts.MaxDataBytes > 0 && s.dataBytes+int64(size) > s.opts.MaxDataBytes:
 		return ErrFull
 	}
 	return nil
 }
 
-// Number gives a job its number. No two jobs of a file ever have the same.
-func (s *Store) Number() uint64 { return s.next.Add(1) }
+// NextID returns the ID for a new job. IDs are never reused within a file.
+func (s *Store) NextID() uint64 { return s.lastID.Add(1) }
 
-// Put stores a job whose number came from Number. done is called once, from the writer's
-// goroutine: without an error the job is on disk.
-func (s *Store) Put(j *Job, st *State, done func(error)) {
-	if err := s.Admit(len(j.Data)); err != nil {
+// Put stores a job whose ID came from NextID. It calls done once. With a nil error the job is on
+// disk, and the call comes from the writer goroutine.
+func (s *Store) Put(job *Job, state *State, done func(error)) {
+	if err := s.Admit(len(job.Data)); err != nil {
 		done(err)
 		return
 	}
-	s.count(j.Function, int64(len(j.Data)), 1, st.Dead != "")
-	st.ID, st.Rev = j.ID, 1
-	rec, srec, key, e, id, dead := encodeJob(j), encodeState(st), dueKey(st), entry(j), u64(j.ID), st.Dead != ""
-	s.send(len(rec), func(tx *bolt.Tx) error {
-		if len(j.Unique) > 0 {
-			if err := tx.Bucket(bUniques).Put(uniqueKey(j.Function, j.Unique), id); err != nil {
+	s.adjustCounts(job.Function, int64(len(job.Data)), 1, state.DeadReason != "")
+	state.ID, state.Revision = job.ID, 1
+	jobRecord, stateRecord := encodeJob(job), encodeState(state)
+	indexKey, indexEntry, idKey := dueIndexKey(state), encodeIndexEntry(job), encodeUint64(job.ID)
+	dead := state.DeadReason != ""
+	s.enqueue(len(jobRecord), func(tx *bolt.Tx) error {
+		if len(job.UniqueID) > 0 {
+			if err := tx.Bucket(uniquesBucket).Put(uniqueIndexKey(job.Function, job.UniqueID), idKey); err != nil {
 				return err
 			}
 		}
-		index := tx.Bucket(bDue).Put
+		putIndex := tx.Bucket(dueBucket).Put
 		if dead {
-			index, key = tx.Bucket(bDead).Put, id
+			putIndex, indexKey = tx.Bucket(deadBucket).Put, idKey
 		}
-		return errors.Join(tx.Bucket(bJobs).Put(id, rec), tx.Bucket(bStates).Put(id, srec), index(key, e),
-			tx.Bucket(bHandles).Put([]byte(j.Handle), id))
+		return errors.Join(
+			tx.Bucket(jobsBucket).Put(idKey, jobRecord),
+			tx.Bucket(statesBucket).Put(idKey, stateRecord),
+			putIndex(indexKey, indexEntry),
+			tx.Bucket(handlesBucket).Put([]byte(job.Handle), idKey))
 	}, func(err error) {
 		if err != nil {
-			s.count(j.Function, int64(len(j.Data)), -1, dead)
+			s.adjustCounts(job.Function, int64(len(job.Data)), -1, dead)
 		}
 		done(err)
 	})
 }
 
-func (s *Store) count(function string, size int64, n int, dead bool) {
+// adjustCounts adds delta jobs, each with size bytes of data, to the counts.
+func (s *Store) adjustCounts(function string, size int64, delta int, dead bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.jobs += n
-	s.bytes += int64(n) * size
+	s.jobCount += delta
+	s.dataBytes += int64(delta) * size
 	if dead {
-		s.dead += n
-	} else if s.functions[function] += n; s.functions[function] <= 0 {
-		delete(s.functions, function)
+		s.deadCount += delta
+	} else if s.functionCounts[function] += delta; s.functionCounts[function] <= 0 {
+		delete(s.functionCounts, function)
 	}
 }
 
-// Change rewrites a job's state: f is given the state as stored and changes it. It runs on the
-// writer's goroutine, and once more if the file is being compacted; it must be a function of
-// the state alone. A job whose Dead is set leaves the due jobs, and comes back when it is
-// cleared.
-func (s *Store) Change(id uint64, f func(*State), done func(error)) {
-	type move struct {
-		function string
-		size     int64
-		to       int
+// UpdateState changes a job's state: update modifies the stored state in place. It runs on the writer
+// goroutine, and again if the file is being compacted, so it must depend on the state alone. Setting
+// DeadReason moves the job from the due jobs to the dead letters; clearing it moves the job back.
+// done, which may be nil, is called with the result.
+func (s *Store) UpdateState(id uint64, update func(*State), done func(error)) {
+	type transition struct {
+		function  string
+		size      int64
+		direction int // -1 to the dead letters, 1 back to the due jobs, 0 neither
 	}
-	var moved move
-	s.send(0, func(tx *bolt.Tx) error {
-		key := u64(id)
-		states, due, dead := tx.Bucket(bStates), tx.Bucket(bDue), tx.Bucket(bDead)
-		st, _, err := decodeState(states.Get(key))
+	var change transition
+	s.enqueue(0, func(tx *bolt.Tx) error {
+		idKey := encodeUint64(id)
+		states, due, dead := tx.Bucket(statesBucket), tx.Bucket(dueBucket), tx.Bucket(deadBucket)
+		state, _, err := decodeState(states.Get(idKey))
 		if err != nil {
-			return refusal{ErrUnknown}
+			return writeError{ErrNotFound}
 		}
-		old := dueKey(st)
-		e := bytes.Clone(due.Get(old))
-		wasDead := st.Dead != ""
+		oldDueKey := dueIndexKey(state)
+		indexEntry := bytes.Clone(due.Get(oldDueKey))
+		wasDead := state.DeadReason != ""
 		if wasDead {
-			e = bytes.Clone(dead.Get(key))
+			indexEntry = bytes.Clone(dead.Get(idKey))
 		}
-		f(st)
-		st.ID, st.Rev = id, st.Rev+1
-		if err := states.Put(key, encodeState(st)); err != nil {
+		update(state)
+		state.ID, state.Revision = id, state.Revision+1
+		if err := states.Put(idKey, encodeState(state)); err != nil {
 			return err
 		}
-		moved = move{}
-		moved.size, moved.function = entryOf(e)
-		switch isDead := st.Dead != ""; {
+		change = transition{}
+		change.size, change.function = decodeIndexEntry(indexEntry)
+		switch isDead := state.DeadReason != ""; {
 		case isDead && !wasDead:
-			moved.to = -1
-			return errors.Join(due.Delete(old), dead.Put(key, e))
+			change.direction = -1
+			return errors.Join(due.Delete(oldDueKey), dead.Put(idKey, indexEntry))
 		case !isDead && wasDead:
-			moved.to = 1
-			return errors.Join(dead.Delete(key), due.Put(dueKey(st), e))
-		case !isDead && !bytes.Equal(old, dueKey(st)):
-			return errors.Join(due.Delete(old), due.Put(dueKey(st), e))
+			change.direction = 1
+			return errors.Join(dead.Delete(idKey), due.Put(dueIndexKey(state), indexEntry))
+		case !isDead && !bytes.Equal(oldDueKey, dueIndexKey(state)):
+			return errors.Join(due.Delete(oldDueKey), due.Put(dueIndexKey(state), indexEntry))
 		}
 		return nil
 	}, func(err error) {
-		if err == nil && moved.to != 0 {
-			s.count(moved.function, moved.size, -1, moved.to > 0)
-			s.count(moved.function, moved.size, 1, moved.to < 0)
+		if err == nil && change.direction != 0 {
+			s.adjustCounts(change.function, change.size, -1, change.direction > 0)
+			s.adjustCounts(change.function, change.size, 1, change.direction < 0)
 		}
 		if done != nil {
 			done(err)
@@ -122,48 +129,53 @@
 	})
 }
 
-// Rewrite writes a job's state where the one that is stored cannot be read.
-func (s *Store) Rewrite(j *Job, st *State, done func(error)) {
-	st.ID, st.Rev = j.ID, st.Rev+1<<32 // above whatever revision was lost
-	key, srec, e, dead := u64(j.ID), encodeState(st), entry(j), st.Dead != ""
-	s.send(0, func(tx *bolt.Tx) error {
-		due := tx.Bucket(bDue)
-		c := due.Cursor()
-		k, _ := c.First()
-		for k != nil && !bytes.Equal(k[9:], key) { // its instant is not known either
-			k, _ = c.Next()
-		}
-		old := bytes.Clone(k)
-		if old == nil || !dead {
-			return refusal{ErrUnknown}
-		}
-		return errors.Join(due.Delete(old), tx.Bucket(bDead).Put(key, e), tx.Bucket(bStates).Put(key, srec))
+// ReplaceLostState makes a job whose stored state is unreadable a dead letter with the given state,
+// whose DeadReason must be set.
+func (s *Store) ReplaceLostState(job *Job, state *State, done func(error)) {
+	state.ID, state.Revision = job.ID, state.Revision+1<<32 // higher than any revision that was lost
+	idKey, stateRecord, indexEntry := encodeUint64(job.ID), encodeState(state), encodeIndexEntry(job)
+	dead := state.DeadReason != ""
+	s.enqueue(0, func(tx *bolt.Tx) error {
+		due := tx.Bucket(dueBucket)
+		cursor := due.Cursor()
+		dueKey, _ := cursor.First()
+		for dueKey != nil && !bytes.Equal(dueKey[9:], idKey) { // the due time is lost with the state
+			dueKey, _ = cursor.Next()
+		}
+		oldDueKey := bytes.Clone(dueKey)
+		if oldDueKey == nil || !dead {
+			return writeError{ErrNotFound}
+		}
+		return errors.Join(
+			due.Delete(oldDueKey),
+			tx.Bucket(deadBucket).Put(idKey, indexEntry),
+			tx.Bucket(statesBucket).Put(idKey, stateRecord))
 	}, func(err error) {
 		if err == nil {
-			s.count(j.Function, int64(len(j.Data)), -1, false)
-			s.count(j.Function, int64(len(j.Data)), 1, true)
+			s.adjustCounts(job.Function, int64(len(job.Data)), -1, false)
+			s.adjustCounts(job.Function, int64(len(job.Data)), 1, true)
 		}
 		done(err)
 	})
 }
 
-// Remove forgets a job that has ended.
+// Remove deletes a job that has ended. done, which may be nil, is called with the result.
 func (s *Store) Remove(id uint64, done func(error)) {
 	var size int64
 	var function string
 	var wasDead bool
-	s.send(0, func(tx *bolt.Tx) error {
-		key := u64(id)
-		st, _, serr := decodeState(tx.Bucket(bStates).Get(key))
-		j, _, jerr := decodeJob(tx.Bucket(bJobs).Get(key))
-		if serr != nil || jerr != nil {
-			return refusal{ErrUnknown}
-		}
-		size, function, wasDead = int64(len(j.Data)), j.Function, st.Dead != ""
-		return s.erase(tx, key, j, dueKey(st))
+	s.enqueue(0, func(tx *bolt.Tx) error {
+		idKey := encodeUint64(id)
+		state, _, stateErr := decodeState(tx.Bucket(statesBucket).Get(idKey))
+		job, _, jobErr := decodeJob(tx.Bucket(jobsBucket).Get(idKey))
+		if stateErr != nil || jobErr != nil {
+			return writeError{ErrNotFound}
+		}
+		size, function, wasDead = int64(len(job.Data)), job.Function, state.DeadReason != ""
+		return s.deleteJob(tx, idKey, job, dueIndexKey(state))
 	}, func(err error) {
 		if err == nil {
-			s.count(function, size, -1, wasDead)
+			s.adjustCounts(function, size, -1, wasDead)
 		}
 		if done != nil {
 			done(err)
@@ -171,46 +183,56 @@
 	})
 }
 
-func (s *Store) erase(tx *bolt.Tx, key []byte, j *Job, due []byte) error {
-	uniques := tx.Bucket(bUniques)
-	if u := uniqueKey(j.Function, j.Unique); j.Unique != "" && bytes.Equal(uniques.Get(u), key) {
-		if err := uniques.Delete(u); err != nil {
+// deleteJob deletes a job's records and index entries. The unique ID is left if a newer job uses it.
+func (s *Store) deleteJob(tx *bolt.Tx, idKey []byte, job *Job, dueKey []byte) error {
+	uniques := tx.Bucket(uniquesBucket)
+	if uniqueKey := uniqueIndexKey(job.Function, job.UniqueID); job.UniqueID != "" && bytes.Equal(uniques.Get(uniqueKey), idKey) {
+		if err := uniques.Delete(uniqueKey); err != nil {
 			return err
 		}
 	}
-	return errors.Join(tx.Bucket(bJobs).Delete(key), tx.Bucket(bStates).Delete(key), tx.Bucket(bDue).Delete(due),
-		tx.Bucket(bDead).Delete(key), tx.Bucket(bHandles).Delete([]byte(j.Handle)))
+	return errors.Join(
+		tx.Bucket(jobsBucket).Delete(idKey),
+		tx.Bucket(statesBucket).Delete(idKey),
+		tx.Bucket(dueBucket).Delete(dueKey),
+		tx.Bucket(deadBucket).Delete(idKey),
+		tx.Bucket(handlesBucket).Delete([]byte(job.Handle)))
 }
 
-// setAside moves a record that cannot be read out of the way and keeps what was read.
-func (s *Store) setAside(id uint64, key []byte, why error) {
+// quarantine removes a job whose record is unreadable and keeps the bytes of the record in the
+// bucket of damaged records. indexKey is the job's key in the due or the dead index.
+func (s *Store) quarantine(id uint64, indexKey []byte, cause error) {
 	var size int64
 	var function string
-	counted := false
-	s.send(0, func(tx *bolt.Tx) error {
-		idKey := u64(id)
-		raw := bytes.Clone(tx.Bucket(bJobs).Get(idKey))
-		if j, _, err := decodeJob(raw); err == nil && j.ID == id {
-			return refusal{errors.New("it can be read after all")}
-		}
-		e := tx.Bucket(bDue).Get(key)
-		if e == nil {
-			e = tx.Bucket(bDead).Get(idKey)
-		}
-		counted = e != nil
-		size, function = entryOf(e)
-		return errors.Join(tx.Bucket(bDamaged).Put(idKey, append([]byte{}, raw...)), tx.Bucket(bJobs).Delete(idKey),
-			tx.Bucket(bStates).Delete(idKey), tx.Bucket(bDue).Delete(key), tx.Bucket(bDead).Delete(idKey))
+	inIndex := false
+	s.enqueue(0, func(tx *bolt.Tx) error {
+		idKey := encodeUint64(id)
+		record := bytes.Clone(tx.Bucket(jobsBucket).Get(idKey))
+		if job, _, err := decodeJob(record); err == nil && job.ID == id {
+			return writeError{errors.New("the record is readable")}
+		}
+		indexEntry := tx.Bucket(dueBucket).Get(indexKey)
+		if indexEntry == nil {
+			indexEntry = tx.Bucket(deadBucket).Get(idKey)
+		}
+		inIndex = indexEntry != nil
+		size, function = decodeIndexEntry(indexEntry)
+		return errors.Join(
+			tx.Bucket(damagedBucket).Put(idKey, append([]byte{}, record...)),
+			tx.Bucket(jobsBucket).Delete(idKey),
+			tx.Bucket(statesBucket).Delete(idKey),
+			tx.Bucket(dueBucket).Delete(indexKey),
+			tx.Bucket(deadBucket).Delete(idKey))
 	}, func(err error) {
 		if err != nil {
 			return
 		}
-		if counted {
-			s.count(function, size, -1, len(key) == 8)
+		if inIndex {
+			s.adjustCounts(function, size, -1, len(indexKey) == 8)
 		}
 		s.mu.Lock()
-		s.damaged++
+		s.damagedCount++
 		s.mu.Unlock()
-		s.log.Error("stored job damaged", "file", s.o.Path, "number", id, "err", why)
+		s.log.Error("stored job damaged; its record is kept in the bucket of damaged records", "file", s.opts.Path, "number", id, "err", cause)
 	})
 }
--- a/internal/jobstore/commit.go
+++ b/internal/jobstore/commit.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	maxBatch      = 1024    // writes in one transaction ...
-	maxBatchBytes = 4 << 20 // ... and their data
-	queue         = 1024    // writes that wait; further writers wait with them
-	lockWait      = time.Second
-	// A transaction waits for more writes for half of the time that the last ones took, mostWait at
-	// most, or until as many have come as lately at the most; every probeMost-th waits on all the same,
-	// or the number could not grow. None waits where the last mostVain waits brought no more, but for
-	// every probeVain-th.
-	mostWait  = 2 * time.Millisecond
-	mostVain  = 4
-	probeVain = 32
-	probeMost = 8
-	// retryAfter is how long a store that failed turns jobs away before the next one is tried.
-	retryAfter = time.Second
-	// compactAt is the least size of a file that is worth making small again, once more than
-	// compactShare of it is free.
-	compactAt    = 16 << 20
-	compactShare = 0.5
-	// compactOps bounds the writes that are kept for the new file while it is made, and
-	// compactBytes their data; a compaction that meets more is given up and tried later.
-	compactOps   = 100_000
-	compactBytes = 64 << 20
+	maxBatch        = 1024    // limit on the writes in one transaction
+	maxBatchBytes   = 4 << 20 // limit on the data in one transaction
+	writeQueueLen   = 1024    // queued writes; callers block while the queue is full
+	fileLockTimeout = time.Second
+	// A batch waits for more writes for half of the average commit time, at most maxBatchWait, or
+	// until it is as large as the largest recent batch. Every peakProbeInterval-th batch waits longer
+	// than that, since batches could not grow otherwise. After maxFruitlessWaits batches of a single
+	// write, only every waitProbeInterval-th batch waits.
+	maxBatchWait      = 2 * time.Millisecond
+	maxFruitlessWaits = 4
+	waitProbeInterval = 32
+	peakProbeInterval = 8
+	// retryDelay is how long new jobs are rejected after a failed commit, before one is tried again.
+	retryDelay = time.Second
+	// A file is compacted if it has at least minCompactFileBytes and more than minCompactFreeShare
+	// of it is free.
+	minCompactFileBytes = 16 << 20
+	minCompactFreeShare = 0.5
+	// maxPendingWrites and maxPendingBytes limit the writes that are kept during a compaction, to be
+	// repeated on the new file. A compaction that exceeds them is abandoned and tried again later.
+	maxPendingWrites = 100_000
+	maxPendingBytes  = 64 << 20
 )
 
-// write is one change. apply checks before it writes: what it returns as a refusal must have
-// changed nothing. It may run twice, on the old file and on its compacted copy, so it must
-// depend on nothing but the file and what it was made with.
+// write is one queued change. If apply returns a writeError, it must not have changed anything. It
+// may run twice, on the old file and on its compacted copy, so its effect must depend only on the
+// file and on the values that it captured.
 type write struct {
 	apply func(tx *bolt.Tx) error
 	size  int
@@ -42,107 +42,111 @@
 	err   error
 }
 
-// run is the one writer.
-func (s *Store) run() {
-	defer close(s.ended)
+// runWriter commits the queued writes until Close. It is the only goroutine that writes to the file.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
 	for {
 		var batch []*write
 		select {
 		case w := <-s.writes:
-			batch = s.gather(w)
-		case <-s.compactions():
-			s.swap()
+			batch = s.collectBatch(w)
+		case <-s.copyDone():
+			s.finishCompaction()
 			continue
 		case <-s.stop:
 			for {
 				select {
 				case w := <-s.writes:
-					s.commit(s.gather(w))
+					s.commit(s.collectBatch(w))
 				default:
 					return
 				}
 			}
 		}
 		s.commit(batch)
-		s.perhapsCompact()
+		s.compactIfSparse()
 	}
 }
 
-// gather takes what waits, and waits a little for more where that has lately paid.
+// collectBatch returns the first write together with the queued ones. It waits shortly for more if
+// recent waits have brought any.
 //
-// On one processor the writers cannot run while the disk is synced: when it is done none waits yet,
-// and the first that comes wakes this goroutine before the others have come. Without the wait each
-// would get a transaction of its own, however many there are.
-func (s *Store) gather(first *write) []*write {
+// On a single processor the callers cannot run during fsync, so the queue is empty after it, and the
+// first caller that queues a write wakes this goroutine before the other callers can run. Without
+// the wait each write would get its own transaction, however many callers there are.
+func (s *Store) collectBatch(first *write) []*write {
 	batch, size := []*write{first}, first.size
-	take := func(limit <-chan time.Time) (more bool) {
+	receive := func(timeout <-chan time.Time) (more bool) {
 		select {
 		case w := <-s.writes:
 			batch, size = append(batch, w), size+w.size
 			return true
 		default:
 		}
-		if limit == nil {
+		if timeout == nil {
 			return false
 		}
 		select {
 		case w := <-s.writes:
 			batch, size = append(batch, w), size+w.size
 			return true
-		case <-limit:
+		case <-timeout:
 			return false
 		case <-s.stop:
 			return false
 		}
 	}
-	var limit <-chan time.Time
-	if s.vain++; !s.o.Single && (s.vain <= mostVain || s.vain%probeVain == 0) && s.took > 0 {
-		t := time.NewTimer(min(s.took/2, mostWait))
-		defer t.Stop()
-		limit = t.C
+	var timeout <-chan time.Time
+	s.fruitlessWaits++
+	worthWaiting := s.fruitlessWaits <= maxFruitlessWaits || s.fruitlessWaits%waitProbeInterval == 0
+	if !s.opts.NoGroupCommit && worthWaiting && s.avgCommitTime > 0 {
+		timer := time.NewTimer(min(s.avgCommitTime/2, maxBatchWait))
+		defer timer.Stop()
+		timeout = timer.C
 	}
-	for !s.o.Single && len(batch) < maxBatch && size < maxBatchBytes && take(limit) {
-		if len(batch) >= s.most && s.turns%probeMost != 0 { // as many as have lately come at once: who else would
-			limit = nil
+	for !s.opts.NoGroupCommit && len(batch) < maxBatch && size < maxBatchBytes && receive(timeout) {
+		if len(batch) >= s.recentPeak && s.batches%peakProbeInterval != 0 { // as large as the recent peak; more are unlikely
+			timeout = nil
 		}
 	}
-	s.turns++
-	if s.most = max(len(batch), s.most-(s.most+15)/16); len(batch) > 1 {
-		s.vain = 0
+	s.batches++
+	s.recentPeak = max(len(batch), s.recentPeak-(s.recentPeak+15)/16)
+	if len(batch) > 1 {
+		s.fruitlessWaits = 0
 	}
 	return batch
 }
 
-// commit carries out the writes and tells each of its end.
+// commit commits a batch of writes and reports the result to each.
 func (s *Store) commit(batch []*write) {
-	begun := time.Now()
-	err := s.transact(s.db, batch)
-	s.took = (3*s.took + time.Since(begun)) / 4
+	start := time.Now()
+	err := s.applyBatch(s.db, batch)
+	s.avgCommitTime = (3*s.avgCommitTime + time.Since(start)) / 4
 	s.mu.Lock()
-	s.commits++
-	s.written += len(batch)
-	news := (err != nil) != (s.why != nil)
+	s.commitCount++
+	s.writeCount += len(batch)
+	stateChanged := (err != nil) != (s.commitErr != nil)
 	if err != nil {
-		s.failed, s.why = time.Now(), err
-		if errors.Is(err, errDamaged) && s.broken == nil {
-			s.broken, news = err, true
+		s.failedAt, s.commitErr = time.Now(), err
+		if errors.Is(err, errDamaged) && s.damageErr == nil {
+			s.damageErr, stateChanged = err, true
 		}
 	} else {
-		s.failed, s.why = time.Time{}, nil
+		s.failedAt, s.commitErr = time.Time{}, nil
 	}
-	broken := s.broken != nil
+	damaged := s.damageErr != nil
 	s.mu.Unlock()
 	switch {
-	case broken && news:
-		s.log.Error("job store damaged", "file", s.o.Path, "err", err)
-		s.markDamaged()
-	case err != nil && news:
-		s.log.Error("job store fails", "file", s.o.Path, "err", err)
-	case err == nil && news:
-		s.log.Info("job store well again", "file", s.o.Path)
+	case damaged && stateChanged:
+		s.log.Error("job store damaged; unavailable until a restart salvages its file", "file", s.opts.Path, "err", err)
+		s.requestSalvage()
+	case err != nil && stateChanged:
+		s.log.Error("job store write failed; rejecting new jobs until a retry succeeds", "file", s.opts.Path, "err", err)
+	case err == nil && stateChanged:
+		s.log.Info("job store writes succeed again", "file", s.opts.Path)
 	}
-	if c := s.compacting; err == nil && c != nil {
-		c.keep(batch)
+	if copying := s.compacting; err == nil && copying != nil {
+		copying.addPending(batch)
 	}
 	for _, w := range batch {
 		if w.err == nil {
@@ -154,19 +158,21 @@
 	}
 }
 
-func (s *Store) transact(db *bolt.DB, batch []*write) (err error) {
-	defer s.unfault(&err)()
+// applyBatch applies writes in one transaction. A writeError is stored in its write; any other error
+// rolls the transaction back and is returned.
+func (s *Store) applyBatch(db *bolt.DB, batch []*write) (err error) {
+	defer s.recoverFault(&err)()
 	s.mu.Lock()
-	if s.broken != nil {
+	if s.damageErr != nil {
 		s.mu.Unlock()
-		return s.broken
+		return s.damageErr
 	}
 	s.mu.Unlock()
 	return db.Update(func(tx *bolt.Tx) error {
 		changed := false
 		for _, w := range batch {
 			w.err = w.apply(tx)
-			if r := (refusal{}); w.err != nil && !errors.As(w.err, &r) {
+			if rejected := (writeError{}); w.err != nil && !errors.As(w.err, &rejected) {
 				err := w.err
 				w.err = nil
 				return err
@@ -176,27 +182,31 @@
 		if !changed {
 			return nil
 		}
-		meta := tx.Bucket(bMeta)
-		if err := errors.Join(meta.Put(kSeen, u64(uint64(s.o.Now()))), meta.Put(kLast, u64(s.next.Load()))); err != nil {
+		meta := tx.Bucket(metaBucket)
+		if err := errors.Join(
+			meta.Put(lastWriteKey, encodeUint64(uint64(s.opts.Now()))),
+			meta.Put(lastIDKey, encodeUint64(s.lastID.Load())),
+		); err != nil {
 			return err
 		}
-		if s.o.Commit != nil {
-			return s.o.Commit()
+		if s.opts.BeforeCommit != nil {
+			return s.opts.BeforeCommit()
 		}
 		return nil
 	})
 }
 
-// send hands a write to the writer. done may be nil. It must not be called from a done: Close
-// waits for it, and it for the writer.
-func (s *Store) send(size int, apply func(*bolt.Tx) error, done func(error)) {
-	s.closing.RLock()
+// enqueue queues a write for the writer goroutine. done may be nil. enqueue must not be called from
+// a done callback: callbacks run on the writer goroutine, so with a full queue enqueue would wait
+// for that goroutine forever, and Close for enqueue.
+func (s *Store) enqueue(size int, apply func(*bolt.Tx) error, done func(error)) {
+	s.closeMu.RLock()
 	if !s.closed {
 		s.writes <- &write{apply: apply, size: size, done: done}
-		s.closing.RUnlock()
+		s.closeMu.RUnlock()
 		return
 	}
-	s.closing.RUnlock()
+	s.closeMu.RUnlock()
 	if done != nil {
 		done(ErrClosed)
 	}
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -1,31 +1,33 @@
 package jobstore
 
-func u64(n uint64) []byte { return order.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return byteOrder.AppendUint64(nil, n) }
 
-// The due index keeps jobs with an instant of the client's apart from the others: the one is
-// compared with the system's clock as it reads now, the other with the process's.
+// The due index has separate queues for due times that a client set and for all others. The former
+// are compared with the current system clock, the latter with the clock of the process.
 const (
-	queueOwn   = 0
-	queueTimed = 1
+	queueProcessClock = 0
+	queueClientTime   = 1
 )
 
-func dueKey(st *State) []byte {
-	k := make([]byte, 0, 17)
-	k = append(k, map[bool]byte{false: queueOwn, true: queueTimed}[st.Timed])
-	return order.AppendUint64(order.AppendUint64(k, uint64(max(0, st.Due))), st.ID)
+// dueIndexKey returns a job's key in the due index: queue, due time and ID.
+func dueIndexKey(state *State) []byte {
+	key := make([]byte, 0, 17)
+	key = append(key, map[bool]byte{false: queueProcessClock, true: queueClientTime}[state.DueSetByClient])
+	return byteOrder.AppendUint64(byteOrder.AppendUint64(key, uint64(max(0, state.Due))), state.ID)
 }
 
-func entry(j *Job) []byte {
-	w := &writer{}
-	w.uint(uint64(len(j.Data)))
-	w.b = append(w.b, j.Function...)
-	return w.b
+// encodeIndexEntry returns a job's value in the due and dead indexes: data size and function.
+func encodeIndexEntry(job *Job) []byte {
+	e := &encoder{}
+	e.uvarint(uint64(len(job.Data)))
+	e.buf = append(e.buf, job.Function...)
+	return e.buf
 }
 
-func entryOf(v []byte) (size int64, function string) {
-	r := &reader{b: v}
-	size = int64(r.uint())
-	return size, string(r.b)
+func decodeIndexEntry(entry []byte) (size int64, function string) {
+	d := &decoder{buf: entry}
+	size = int64(d.uvarint())
+	return size, string(d.buf)
 }
 
-func uniqueKey(function, unique string) []byte { return []byte(function + "\x00" + unique) }
+func uniqueIndexKey(function, uniqueID string) []byte { return []byte(function + "\x00" + uniqueID) }
--- a/internal/jobstore/read.go
+++ b/internal/jobstore/read.go
@@ -8,132 +8,141 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Stored is a job as it is on disk.
-type Stored struct {
+// StoredJob is a job as read from disk.
+type StoredJob struct {
 	Job   *Job
 	State *State
-	// Lost tells that the state could not be read, so that the job may have been sent anywhere.
-	Lost bool
+	// StateLost is set if the state was unreadable, so that the job may have been sent to any worker.
+	StateLost bool
 }
 
-// Counts of what is stored.
+// Counts holds statistics of a store.
 type Counts struct {
-	Jobs, Dead, Damaged int
-	Bytes               int64 // of jobs' data
-	Commits, Writes     int   // since the start: transactions, and the changes in them
-	File                int64 // bytes on disk
-	Free                int64 // of these, in free pages
+	Jobs, Dead, Damaged int   // stored jobs, the dead letters among them, and damaged records
+	DataBytes           int64 // total size of the jobs' data
+	Commits, Writes     int   // transactions since the start, and the writes in them
+	FileBytes           int64 // size of the file
+	FreeBytes           int64 // size of the free pages in the file
 }
 
-// Counts returns how much is stored.
+// Counts returns the store's statistics.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
-	c := Counts{Jobs: s.jobs, Dead: s.dead, Damaged: s.damaged, Bytes: s.bytes, Commits: s.commits, Writes: s.written}
+	c := Counts{
+		Jobs:      s.jobCount,
+		Dead:      s.deadCount,
+		Damaged:   s.damagedCount,
+		DataBytes: s.dataBytes,
+		Commits:   s.commitCount,
+		Writes:    s.writeCount,
+	}
 	s.mu.Unlock()
 	_ = s.view(func(tx *bolt.Tx) error {
-		c.File = tx.Size()
-		c.Free = int64(tx.DB().Stats().FreePageN) * int64(tx.DB().Info().PageSize)
+		c.FileBytes = tx.Size()
+		c.FreeBytes = int64(tx.DB().Stats().FreePageN) * int64(tx.DB().Info().PageSize)
 		return nil
 	})
 	return c
 }
 
-// Function is how many jobs of a function wait, dead letters apart.
-func (s *Store) Function(name string) int {
+// FunctionCount returns the number of stored jobs of a function, without dead letters.
+func (s *Store) FunctionCount(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.functions[name]
+	return s.functionCounts[name]
 }
 
-// ClockBack tells that the clock read less at the start than when the file was last written:
-// how long ago something was sent cannot be known then.
-func (s *Store) ClockBack() bool { return s.back }
+// ClockSetBack reports whether the clock at the start was behind the last write to the file. Then
+// it is unknown how long ago a job was sent.
+func (s *Store) ClockSetBack() bool { return s.clockSetBack }
 
+// view runs f in a read transaction. If that finds damage, the store becomes unavailable.
 func (s *Store) view(f func(*bolt.Tx) error) (err error) {
-	s.file.RLock()
-	defer s.file.RUnlock()
+	s.dbMu.RLock()
+	defer s.dbMu.RUnlock()
 	select {
-	case <-s.ended:
+	case <-s.writerDone:
 		return ErrClosed
 	default:
 	}
 	s.mu.Lock()
-	err = s.broken
+	err = s.damageErr
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			s.broke(err)
+			s.noteDamage(err)
 		}
 	}()
-	defer s.unfault(&err)()
+	defer s.recoverFault(&err)()
 	return s.db.View(f)
 }
 
-// load reads one job. A job's record that cannot be read is an error, a state's is not.
-func load(tx *bolt.Tx, key []byte) (*Stored, error) {
-	raw := tx.Bucket(bJobs).Get(key)
-	j, _, err := decodeJob(raw)
+// readJob reads one job. An unreadable job record is an error; an unreadable state record only sets
+// StateLost.
+func readJob(tx *bolt.Tx, key []byte) (*StoredJob, error) {
+	record := tx.Bucket(jobsBucket).Get(key)
+	job, _, err := decodeJob(record)
 	if err != nil {
 		return nil, err
 	}
-	if j.ID != order.Uint64(key) {
-		return nil, fmt.Errorf("it is job %d's", j.ID)
+	if job.ID != byteOrder.Uint64(key) {
+		return nil, fmt.Errorf("it is job %d's", job.ID)
 	}
-	st, _, err := decodeState(tx.Bucket(bStates).Get(key))
-	if err != nil || st.ID != j.ID {
-		return &Stored{Job: j, State: &State{ID: j.ID}, Lost: true}, nil
+	state, _, err := decodeState(tx.Bucket(statesBucket).Get(key))
+	if err != nil || state.ID != job.ID {
+		return &StoredJob{Job: job, State: &State{ID: job.ID}, StateLost: true}, nil
 	}
-	return &Stored{Job: j, State: st}, nil
+	return &StoredJob{Job: job, State: state}, nil
 }
 
-// Due returns up to so many jobs that are due, those longest due first, without those that skip
-// tells of, and when the next one will be due, 0 where there is none. now is the process's
-// clock, wall the system's as it reads at present. horizon is the farthest that an instant of
-// the process's clock can lie ahead: what lies farther was written before the clock was set
-// back, and is due.
-func (s *Store) Due(now, wall, horizon time.Duration, most int, skip func(id uint64) bool) (due []*Stored, next time.Duration, err error) {
-	type bad struct {
+// Due returns up to limit jobs that are due, longest overdue first, without those for which skip
+// returns true. next is the time until another job becomes due, 0 if there is none. Due times that a
+// client set are compared with wallClock, the current system clock, and all others with now, the
+// clock of the process. horizon is the longest delay that the process schedules: a due time beyond
+// it was stored before the clock was set back, and counts as due.
+func (s *Store) Due(now, wallClock, horizon time.Duration, limit int, skip func(id uint64) bool) (due []*StoredJob, next time.Duration, err error) {
+	type damagedJob struct {
 		id  uint64
 		key []byte
-		why error
+		err error
 	}
-	var damaged []bad
+	var damaged []damagedJob
 	err = s.view(func(tx *bolt.Tx) error {
-		for _, q := range []byte{queueOwn, queueTimed} {
-			c := tx.Bucket(bDue).Cursor()
-			take := func(k []byte) bool { // false at the end of what is wanted
-				id := order.Uint64(k[9:])
+		for _, queue := range []byte{queueProcessClock, queueClientTime} {
+			cursor := tx.Bucket(dueBucket).Cursor()
+			add := func(key []byte) bool { // returns false when enough jobs are found
+				id := byteOrder.Uint64(key[9:])
 				if skip(id) {
 					return true
 				}
-				j, err := load(tx, k[9:])
+				stored, err := readJob(tx, key[9:])
 				if err != nil {
-					damaged = append(damaged, bad{id, append([]byte{}, k...), err})
+					damaged = append(damaged, damagedJob{id, append([]byte{}, key...), err})
 					return len(damaged) < maxBatch
 				}
-				due = append(due, j)
-				return len(due) < most
+				due = append(due, stored)
+				return len(due) < limit
 			}
-			for k, _ := c.Seek([]byte{q}); len(k) == 17 && k[0] == q && len(due) < most; k, _ = c.Next() {
-				at, clock := time.Duration(order.Uint64(k[1:])), now
-				if q == queueTimed {
-					clock = wall
+			for key, _ := cursor.Seek([]byte{queue}); len(key) == 17 && key[0] == queue && len(due) < limit; key, _ = cursor.Next() {
+				dueAt, clock := time.Duration(byteOrder.Uint64(key[1:])), now
+				if queue == queueClientTime {
+					clock = wallClock
 				}
-				if at > clock && (q == queueTimed || at <= now+horizon) {
-					if wait := at - clock; next == 0 || wait < next {
+				if dueAt > clock && (queue == queueClientTime || dueAt <= now+horizon) {
+					if wait := dueAt - clock; next == 0 || wait < next {
 						next = wait
 					}
-					if q == queueOwn { // only what was written before the clock was set back is left
-						far := append([]byte{q}, u64(uint64(now+horizon+1))...)
-						for k, _ = c.Seek(far); len(k) == 17 && k[0] == q && take(k); k, _ = c.Next() {
+					if queue == queueProcessClock { // of the rest, only jobs stored before the clock was set back are due
+						beyondHorizon := append([]byte{queue}, encodeUint64(uint64(now+horizon+1))...)
+						for key, _ = cursor.Seek(beyondHorizon); len(key) == 17 && key[0] == queue && add(key); key, _ = cursor.Next() {
 						}
 					}
 					break
 				}
-				if !take(k) {
+				if !add(key) {
 					break
 				}
 			}
@@ -141,55 +150,58 @@
 		return nil
 	})
 	for _, b := range damaged {
-		s.setAside(b.id, b.key, b.why)
+		s.quarantine(b.id, b.key, b.err)
 	}
 	return due, next, err
 }
 
-// Get returns the job of a number.
-func (s *Store) Get(id uint64) (j *Stored, err error) {
+// Get returns the job with an ID.
+func (s *Store) Get(id uint64) (stored *StoredJob, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
-		if tx.Bucket(bJobs).Get(u64(id)) == nil {
-			return ErrUnknown
+		if tx.Bucket(jobsBucket).Get(encodeUint64(id)) == nil {
+			return ErrNotFound
 		}
-		j, err = load(tx, u64(id))
+		stored, err = readJob(tx, encodeUint64(id))
 		return err
 	})
-	return j, err
+	return stored, err
 }
 
-// Handle returns the job of a handle.
-func (s *Store) Handle(handle string) (*Stored, error) { return s.find(bHandles, []byte(handle)) }
+// ByHandle returns the job with a handle.
+func (s *Store) ByHandle(handle string) (*StoredJob, error) {
+	return s.find(handlesBucket, []byte(handle))
+}
 
-// Unique returns the job of a function and unique id, whether it waits or is dead.
-func (s *Store) Unique(function, unique string) (*Stored, error) {
-	return s.find(bUniques, uniqueKey(function, unique))
+// ByUniqueID returns the job with a function and unique ID, which may be a dead letter.
+func (s *Store) ByUniqueID(function, uniqueID string) (*StoredJob, error) {
+	return s.find(uniquesBucket, uniqueIndexKey(function, uniqueID))
 }
 
-func (s *Store) find(bucket, key []byte) (j *Stored, err error) {
+// find returns the job whose ID an index bucket holds under a key.
+func (s *Store) find(bucket, key []byte) (stored *StoredJob, err error) {
 	err = s.view(func(tx *bolt.Tx) error {
 		id := tx.Bucket(bucket).Get(key)
-		if len(id) != 8 || tx.Bucket(bJobs).Get(id) == nil {
-			return ErrUnknown
+		if len(id) != 8 || tx.Bucket(jobsBucket).Get(id) == nil {
+			return ErrNotFound
 		}
-		j, err = load(tx, id)
+		stored, err = readJob(tx, id)
 		return err
 	})
-	return j, err
+	return stored, err
 }
 
-// List calls f with up to so many stored jobs, those that wait or the dead ones.
-func (s *Store) List(dead bool, most int, f func(*Stored)) error {
+// List calls f with up to limit jobs: the dead letters, or all others.
+func (s *Store) List(dead bool, limit int, f func(*StoredJob)) error {
 	return s.view(func(tx *bolt.Tx) error {
-		bucket := bDue
+		bucket := dueBucket
 		if dead {
-			bucket = bDead
+			bucket = deadBucket
 		}
-		c := tx.Bucket(bucket).Cursor()
-		for k, _ := c.First(); k != nil && most > 0; k, _ = c.Next() {
-			if j, err := load(tx, k[len(k)-8:]); err == nil {
-				f(j)
-				most--
+		cursor := tx.Bucket(bucket).Cursor()
+		for k, _ := cursor.First(); k != nil && limit > 0; k, _ = cursor.Next() {
+			if stored, err := readJob(tx, k[len(k)-8:]); err == nil {
+				f(stored)
+				limit--
 			}
 		}
 		return nil
@@ -197,16 +209,16 @@
 }
 
 const (
-	verifyPage  = 512
-	verifyPause = 2 * time.Millisecond
+	verifyPageSize = 512                  // records read in one transaction
+	verifyPause    = 2 * time.Millisecond // pause between two pages
 )
 
-// Verify reads every record once, a page at a time and with pauses, so that damage shows soon
-// after a start and not when the job's turn comes. Jobs whose record cannot be read are set
-// aside. It returns how many records it has read.
+// Verify reads every record once, a page at a time and with pauses, so that damage is found soon
+// after a start and not only when a job is due. It quarantines jobs with an unreadable record, and
+// returns the number of records read.
 func (s *Store) Verify(ctx context.Context) (read int, err error) {
-	for _, bucket := range [][]byte{bDue, bDead} {
-		n, err := s.verify(ctx, bucket)
+	for _, bucket := range [][]byte{dueBucket, deadBucket} {
+		n, err := s.verifyBucket(ctx, bucket)
 		if read += n; err != nil {
 			return read, err
 		}
@@ -214,36 +226,36 @@
 	return read, nil
 }
 
-func (s *Store) verify(ctx context.Context, bucket []byte) (read int, err error) {
-	type bad struct {
+func (s *Store) verifyBucket(ctx context.Context, bucket []byte) (read int, err error) {
+	type damagedJob struct {
 		key []byte
-		why error
+		err error
 	}
-	for after := []byte(nil); ctx.Err() == nil; time.Sleep(verifyPause) {
-		var damaged []bad
-		n := 0
+	for lastKey := []byte(nil); ctx.Err() == nil; time.Sleep(verifyPause) {
+		var damaged []damagedJob
+		pageCount := 0
 		err := s.view(func(tx *bolt.Tx) error {
-			c := tx.Bucket(bucket).Cursor()
-			k, _ := c.First()
-			if after != nil {
-				if k, _ = c.Seek(after); string(k) == string(after) {
-					k, _ = c.Next()
+			cursor := tx.Bucket(bucket).Cursor()
+			k, _ := cursor.First()
+			if lastKey != nil {
+				if k, _ = cursor.Seek(lastKey); string(k) == string(lastKey) {
+					k, _ = cursor.Next()
 				}
 			}
-			for ; k != nil && n < verifyPage; k, _ = c.Next() {
-				n++
-				after = append(after[:0], k...)
-				if _, err := load(tx, k[len(k)-8:]); err != nil {
-					damaged = append(damaged, bad{append([]byte{}, k...), err})
+			for ; k != nil && pageCount < verifyPageSize; k, _ = cursor.Next() {
+				pageCount++
+				lastKey = append(lastKey[:0], k...)
+				if _, err := readJob(tx, k[len(k)-8:]); err != nil {
+					damaged = append(damaged, damagedJob{append([]byte{}, k...), err})
 				}
 			}
 			return nil
 		})
-		read += n
+		read += pageCount
 		for _, b := range damaged {
-			s.setAside(order.Uint64(b.key[len(b.key)-8:]), b.key, b.why)
+			s.quarantine(byteOrder.Uint64(b.key[len(b.key)-8:]), b.key, b.err)
 		}
-		if err != nil || n < verifyPage {
+		if err != nil || pageCount < verifyPageSize {
 			return read, err
 		}
 	}
--- a/internal/jobstore/record.go
+++ b/internal/jobstore/record.go
@@ -10,219 +10,248 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// A record is written as
+// The format of a record is
 //
 //	"TRJ" kind(1) version(1) length(uvarint) body crc32c(4, big-endian, over all before it)
 //
-// It tells its own length and its own job, so that it can be found in a file whose tree cannot
-// be read any more. Within the body numbers are varints and texts carry their length. What a
-// later version appends to a body is skipped by an earlier one.
+// A record contains its length and its job's ID, so that it can be recovered from a file whose B+
+// tree is damaged. In the body, numbers are varints and strings are prefixed with their length. A
+// reader ignores fields at the end of a body that it does not know, which a newer version appended.
 const (
 	formatVersion = 1
 	kindJob       = 'J'
 	kindState     = 'S'
-	overhead      = 3 + 1 + 1 + 4
-	// maxRecord bounds a record's body: a packet's data and the texts around it.
-	maxRecord = 256 << 10
+	minRecordSize = 3 + 1 + 1 + 4
+	// maxBodySize limits a record's body, which holds the data of a packet and a few strings.
+	maxBodySize = 256 << 10
 )
 
 var (
-	magic  = []byte("TRJ")
-	table  = crc32.MakeTable(crc32.Castagnoli)
-	order  = binary.BigEndian
-	errCRC = errors.New("checksum does not match")
+	recordMagic = []byte("TRJ")
+	crcTable    = crc32.MakeTable(crc32.Castagnoli)
+	byteOrder   = binary.BigEndian
+	errChecksum = errors.New("checksum does not match")
 )
 
-// Job is what was accepted. It never changes.
+// Job is the immutable part of a stored job.
 type Job struct {
-	ID       uint64 // the store's number for it
-	Handle   string
-	Function string
-	Unique   string // empty where the job is never shared
-	Data     []byte
-	Accepted time.Duration // Unix time
-	Timed    bool          // its first Due is an instant that the client named
+	ID             uint64 // assigned by the store
+	Handle         string
+	Function       string
+	UniqueID       string // empty if the job is not shared between submissions
+	Data           []byte
+	AcceptedAt     time.Duration // Unix time
+	DueSetByClient bool          // the client set the first due time
 }
 
-// Send is a routed task that was about to leave.
+// Send describes an attempt that was about to be sent to a worker.
 type Send struct {
-	Region     string
-	Worker     balance.WorkerID
+	WorkerName string
+	WorkerID   balance.WorkerID
 	Zone, Cell int
-	At         time.Duration // Unix time by the sender's clock
-	Attempt    int           // over all offers, from 1
+	At         time.Duration // Unix time by the clock of the sender
+	Attempt    int           // number of the attempt over all offers, from 1
 }
 
-// State is what has become of a job so far.
+// State is the mutable part of a stored job.
 type State struct {
-	ID     uint64
-	Rev    uint64 // grows with every change: the highest is the last
-	Due    time.Duration
-	Timed  bool // Due is an instant that the client named, not one of our own clock
-	Offers int  // that have ended
-	Sends  int
-	First  *Send // the earliest that may have run, nil where none may
-	Last   *Send // the latest
-	Dead   string
-	Since  time.Duration // when it died
-	// Released is when its life began anew by an operator's word, 0 where it has not: its
-	// expiry counts from then.
-	Released time.Duration
-}
-
-type writer struct{ b []byte }
-
-func (w *writer) num(n int64)   { w.b = binary.AppendVarint(w.b, n) }
-func (w *writer) uint(n uint64) { w.b = binary.AppendUvarint(w.b, n) }
-func (w *writer) text(s string) { w.uint(uint64(len(s))); w.b = append(w.b, s...) }
-func (w *writer) flag(b bool)   { w.b = append(w.b, map[bool]byte{true: 1}[b]) }
-func (w *writer) seal(kind byte) []byte {
-	out := make([]byte, 0, len(w.b)+overhead+binary.MaxVarintLen32)
-	out = append(out, magic...)
+	ID             uint64
+	Revision       uint64        // increases with every change, so that the highest is the latest
+	Due            time.Duration // Unix time
+	DueSetByClient bool          // the client set Due, which is then a time of the system clock
+	Offers         int           // offers to the dispatcher that have ended
+	Sends          int
+	FirstSend      *Send         // the earliest send that may have run, nil if there is none
+	LastSend       *Send         // the latest send
+	DeadReason     string        // set for dead letters only
+	DeadSince      time.Duration // Unix time
+	// ReleasedAt is when an operator released the job from the dead letters, 0 if none did. The
+	// job's expiry then counts from this time.
+	ReleasedAt time.Duration
+}
+
+// encoder appends the fields of a record's body.
+type encoder struct{ buf []byte }
+
+func (e *encoder) varint(n int64)   { e.buf = binary.AppendVarint(e.buf, n) }
+func (e *encoder) uvarint(n uint64) { e.buf = binary.AppendUvarint(e.buf, n) }
+func (e *encoder) string(s string)  { e.uvarint(uint64(len(s))); e.buf = append(e.buf, s...) }
+func (e *encoder) bool(b bool)      { e.buf = append(e.buf, map[bool]byte{true: 1}[b]) }
+
+// record returns the whole record of the body that was encoded.
+func (e *encoder) record(kind byte) []byte {
+	out := make([]byte, 0, len(e.buf)+minRecordSize+binary.MaxVarintLen32)
+	out = append(out, recordMagic...)
 	out = append(out, kind, formatVersion)
-	out = binary.AppendUvarint(out, uint64(len(w.b)))
-	out = append(out, w.b...)
-	return order.AppendUint32(out, crc32.Checksum(out, table))
+	out = binary.AppendUvarint(out, uint64(len(e.buf)))
+	out = append(out, e.buf...)
+	return byteOrder.AppendUint32(out, crc32.Checksum(out, crcTable))
 }
 
-type reader struct {
-	b   []byte
-	bad bool
+// decoder reads the fields of a record's body. After an invalid field all others read as zero.
+type decoder struct {
+	buf       []byte
+	truncated bool // a field was invalid or incomplete
 }
 
-func (r *reader) num() int64 {
-	n, l := binary.Varint(r.b)
-	return cut(r, n, l)
+func (d *decoder) varint() int64 {
+	n, l := binary.Varint(d.buf)
+	return advance(d, n, l)
 }
 
-func (r *reader) uint() uint64 {
-	n, l := binary.Uvarint(r.b)
-	return cut(r, n, l)
+func (d *decoder) uvarint() uint64 {
+	n, l := binary.Uvarint(d.buf)
+	return advance(d, n, l)
 }
 
-func cut[N int64 | uint64](r *reader, n N, l int) N {
-	if l <= 0 {
-		r.bad, r.b = true, nil
+// advance skips a number of size bytes and returns it. A size of 0 or less marks an invalid number.
+func advance[N int64 | uint64](d *decoder, n N, size int) N {
+	if size <= 0 {
+		d.truncated, d.buf = true, nil
 		return 0
 	}
-	r.b = r.b[l:]
+	d.buf = d.buf[size:]
 	return n
 }
 
-func (r *reader) text() string {
-	n := r.uint()
-	if n > uint64(len(r.b)) {
-		r.bad, r.b = true, nil
+func (d *decoder) string() string {
+	n := d.uvarint()
+	if n > uint64(len(d.buf)) {
+		d.truncated, d.buf = true, nil
 		return ""
 	}
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+	s := string(d.buf[:n])
+	d.buf = d.buf[n:]
 	return s
 }
 
-func (r *reader) flag() bool {
-	if len(r.b) == 0 || r.b[0] > 1 {
-		r.bad, r.b = true, nil
+func (d *decoder) bool() bool {
+	if len(d.buf) == 0 || d.buf[0] > 1 {
+		d.truncated, d.buf = true, nil
 		return false
 	}
-	f := r.b[0] == 1
-	r.b = r.b[1:]
+	f := d.buf[0] == 1
+	d.buf = d.buf[1:]
 	return f
 }
 
-// open checks a record's frame and returns its body and its whole length.
-func open(b []byte, kind byte) (body []byte, size int, err error) {
-	if len(b) < overhead+1 || string(b[:3]) != string(magic) || b[3] != kind {
+// recordBody validates the record at the start of b. It returns its body and the record's size.
+func recordBody(b []byte, kind byte) (body []byte, size int, err error) {
+	if len(b) < minRecordSize+1 || string(b[:3]) != string(recordMagic) || b[3] != kind {
 		return nil, 0, errors.New("not a record")
 	}
 	if b[4] == 0 || b[4] > formatVersion {
 		return nil, 0, fmt.Errorf("format version %d is not known", b[4])
 	}
-	n, l := binary.Uvarint(b[5:])
-	if l <= 0 || n > maxRecord || uint64(len(b)-5-l) < n+4 {
+	bodySize, lengthSize := binary.Uvarint(b[5:])
+	if lengthSize <= 0 || bodySize > maxBodySize || uint64(len(b)-5-lengthSize) < bodySize+4 {
 		return nil, 0, errors.New("cut short")
 	}
-	end := 5 + l + int(n)
-	if order.Uint32(b[end:]) != crc32.Checksum(b[:end], table) {
-		return nil, 0, errCRC
+	end := 5 + lengthSize + int(bodySize)
+	if byteOrder.Uint32(b[end:]) != crc32.Checksum(b[:end], crcTable) {
+		return nil, 0, errChecksum
 	}
-	return b[5+l : end], end + 4, nil
+	return b[5+lengthSize : end], end + 4, nil
 }
 
-func encodeJob(j *Job) []byte {
-	w := &writer{}
-	w.uint(j.ID)
-	w.text(j.Handle)
-	w.text(j.Function)
-	w.text(j.Unique)
-	w.num(int64(j.Accepted))
-	w.flag(j.Timed)
-	w.text(string(j.Data))
-	return w.seal(kindJob)
+func encodeJob(job *Job) []byte {
+	e := &encoder{}
+	e.uvarint(job.ID)
+	e.string(job.Handle)
+	e.string(job.Function)
+	e.string(job.UniqueID)
+	e.varint(int64(job.AcceptedAt))
+	e.bool(job.DueSetByClient)
+	e.string(string(job.Data))
+	return e.record(kindJob)
 }
 
-// decodeJob reads a job's record and tells how long it is.
+// decodeJob decodes a job record and returns its size.
 func decodeJob(b []byte) (*Job, int, error) {
-	body, size, err := open(b, kindJob)
+	body, size, err := recordBody(b, kindJob)
 	if err != nil {
 		return nil, 0, err
 	}
-	r := &reader{b: body}
-	j := &Job{ID: r.uint(), Handle: r.text(), Function: r.text(), Unique: r.text(), Accepted: time.Duration(r.num()),
-		Timed: r.flag()}
-	j.Data = []byte(r.text())
-	if r.bad {
+	d := &decoder{buf: body}
+	job := &Job{
+		ID:             d.uvarint(),
+		Handle:         d.string(),
+		Function:       d.string(),
+		UniqueID:       d.string(),
+		AcceptedAt:     time.Duration(d.varint()),
+		DueSetByClient: d.bool(),
+	}
+	job.Data = []byte(d.string())
+	if d.truncated {
 		return nil, 0, errors.New("fields cut short")
 	}
-	return j, size, nil
+	return job, size, nil
 }
 
-func (w *writer) send(s *Send) {
-	w.flag(s != nil)
+func (e *encoder) send(s *Send) {
+	e.bool(s != nil)
 	if s != nil {
-		w.text(s.Region)
-		w.uint(uint64(s.Worker))
-		w.num(int64(s.Zone))
-		w.num(int64(s.Cell))
-		w.num(int64(s.At))
-		w.num(int64(s.Attempt))
+		e.string(s.WorkerName)
+		e.uvarint(uint64(s.WorkerID))
+		e.varint(int64(s.Zone))
+		e.varint(int64(s.Cell))
+		e.varint(int64(s.At))
+		e.varint(int64(s.Attempt))
 	}
 }
 
-func (r *reader) send() *Send {
-	if !r.flag() {
+func (d *decoder) send() *Send {
+	if !d.bool() {
 		return nil
 	}
-	return &Send{Region: r.text(), Worker: balance.WorkerID(r.uint()), Zone: int(r.num()), Cell: int(r.num()),
-		At: time.Duration(r.num()), Attempt: int(r.num())}
+	return &Send{
+		WorkerName: d.string(),
+		WorkerID:   balance.WorkerID(d.uvarint()),
+		Zone:       int(d.varint()),
+		Cell:       int(d.varint()),
+		At:         time.Duration(d.varint()),
+		Attempt:    int(d.varint()),
+	}
 }
 
-func encodeState(s *State) []byte {
-	w := &writer{}
-	w.uint(s.ID)
-	w.uint(s.Rev)
-	w.num(int64(s.Due))
-	w.flag(s.Timed)
-	w.num(int64(s.Offers))
-	w.num(int64(s.Sends))
-	w.send(s.First)
-	w.send(s.Last)
-	w.text(s.Dead)
-	w.num(int64(s.Since))
-	w.num(int64(s.Released))
-	return w.seal(kindState)
+func encodeState(state *State) []byte {
+	e := &encoder{}
+	e.uvarint(state.ID)
+	e.uvarint(state.Revision)
+	e.varint(int64(state.Due))
+	e.bool(state.DueSetByClient)
+	e.varint(int64(state.Offers))
+	e.varint(int64(state.Sends))
+	e.send(state.FirstSend)
+	e.send(state.LastSend)
+	e.string(state.DeadReason)
+	e.varint(int64(state.DeadSince))
+	e.varint(int64(state.ReleasedAt))
+	return e.record(kindState)
 }
 
+// decodeState decodes a state record and returns its size.
 func decodeState(b []byte) (*State, int, error) {
-	body, size, err := open(b, kindState)
+	body, size, err := recordBody(b, kindState)
 	if err != nil {
 		return nil, 0, err
 	}
-	r := &reader{b: body}
-	s := &State{ID: r.uint(), Rev: r.uint(), Due: time.Duration(r.num()), Timed: r.flag(), Offers: int(r.num()),
-		Sends: int(r.num()), First: r.send(), Last: r.send(), Dead: r.text(), Since: time.Duration(r.num()), Released: time.Duration(r.num())}
-	if r.bad {
+	d := &decoder{buf: body}
+	state := &State{
+		ID:             d.uvarint(),
+		Revision:       d.uvarint(),
+		Due:            time.Duration(d.varint()),
+		DueSetByClient: d.bool(),
+		Offers:         int(d.varint()),
+		Sends:          int(d.varint()),
+		FirstSend:      d.send(),
+		LastSend:       d.send(),
+		DeadReason:     d.string(),
+		DeadSince:      time.Duration(d.varint()),
+		ReleasedAt:     time.Duration(d.varint()),
+	}
+	if d.truncated {
 		return nil, 0, errors.New("fields cut short")
 	}
-	return s, size, nil
+	return state, size, nil
 }
--- a/internal/jobstore/repair.go
+++ b/internal/jobstore/repair.go
@@ -14,82 +14,87 @@
 
 const (
 	compactSuffix = ".compact"
-	salvageSuffix = ".salvage" // a mark beside the file: salvage it at the next start
+	salvageSuffix = ".salvage" // an empty marker file; the next start salvages the store's file
 	damagedSuffix = ".damaged"
-	// Salvaged is why a job is dead that was found in a damaged file: it may be one that had
-	// ended, and whether and where it was sent may not be known.
-	Salvaged = "salvaged"
-	// compactTx bounds what one transaction of a copy holds in memory.
-	compactTx = 1 << 20
+	// ReasonSalvaged is the DeadReason of jobs that were recovered from a damaged file. Such a job may
+	// have ended already, and it may be unknown whether and where it was sent.
+	ReasonSalvaged = "salvaged"
+	// copyTxBytes limits the memory that one transaction of a compaction takes.
+	copyTxBytes = 1 << 20
 )
 
-// broke notes that the file was found damaged while in use.
-func (s *Store) broke(err error) {
+// noteDamage makes the store unavailable if err says that its file is damaged.
+func (s *Store) noteDamage(err error) {
 	if !errors.Is(err, errDamaged) {
 		return
 	}
 	s.mu.Lock()
-	news := s.broken == nil
-	if news {
-		s.broken = err
+	first := s.damageErr == nil
+	if first {
+		s.damageErr = err
 	}
 	s.mu.Unlock()
-	if news {
-		s.log.Error("job store damaged", "file", s.o.Path, "err", err)
-		s.markDamaged()
+	if first {
+		s.log.Error("job store damaged; unavailable until a restart salvages its file", "file", s.opts.Path, "err", err)
+		s.requestSalvage()
 	}
 }
 
-func (s *Store) markDamaged() { _ = os.WriteFile(s.o.Path+salvageSuffix, nil, 0o600) }
+// requestSalvage makes the next start salvage the file. If the marker cannot be written, the next
+// start checks the file as always.
+func (s *Store) requestSalvage() { _ = os.WriteFile(s.opts.Path+salvageSuffix, nil, 0o600) }
 
-// salvage sets a damaged file aside, makes a new one, and takes over what the old one's bytes
-// still hold. Records that were deleted may be found again, so what comes back is dead: to be
-// looked at, and released by hand where a repeat is harmless.
-func (s *Store) salvage(why error) error {
-	jobs, states, highest, err := scan(s.o.Path)
-	if err == nil && len(jobs) == 0 && !isTree(s.o.Path) {
-		err = fmt.Errorf("%s: neither a job store nor what is left of one", s.o.Path)
+// salvage renames a damaged file, creates a new one, and copies the records that are still readable
+// in the old one. These may include deleted records, so all recovered jobs become dead letters. An
+// operator can release those that are safe to run again.
+func (s *Store) salvage(cause error) error {
+	jobs, states, highestID, err := scanRecords(s.opts.Path)
+	if err == nil && len(jobs) == 0 && !isBoltFile(s.opts.Path) {
+		err = fmt.Errorf("%s: neither a job store nor the remains of one", s.opts.Path)
 	}
 	if err != nil {
-		return errors.Join(why, err)
+		return errors.Join(cause, err)
 	}
-	aside := s.o.Path + damagedSuffix
+	damagedPath := s.opts.Path + damagedSuffix
 	for n := 1; ; n++ {
-		if _, err := os.Stat(aside); errors.Is(err, os.ErrNotExist) {
+		if _, err := os.Stat(damagedPath); errors.Is(err, os.ErrNotExist) {
 			break
 		}
-		aside = fmt.Sprintf("%s%s.%d", s.o.Path, damagedSuffix, n)
+		damagedPath = fmt.Sprintf("%s%s.%d", s.opts.Path, damagedSuffix, n)
 	}
-	if err := os.Rename(s.o.Path, aside); err != nil {
-		return errors.Join(why, err)
+	if err := os.Rename(s.opts.Path, damagedPath); err != nil {
+		return errors.Join(cause, err)
 	}
-	_ = os.Remove(s.o.Path + salvageSuffix)
-	if err := s.load(); err != nil {
-		return errors.Join(why, err)
+	_ = os.Remove(s.opts.Path + salvageSuffix)
+	if err := s.loadFile(); err != nil {
+		return errors.Join(cause, err)
 	}
-	s.next.Store(max(s.next.Load(), highest))
-	batch, size := []*write{}, 0
+	s.lastID.Store(max(s.lastID.Load(), highestID))
+	batch, batchBytes := []*write{}, 0
 	flush := func() error {
-		err := s.transact(s.db, batch)
-		batch, size = batch[:0], 0
+		err := s.applyBatch(s.db, batch)
+		batch, batchBytes = batch[:0], 0
 		return err
 	}
-	for id, j := range jobs {
-		st := states[id]
-		if st == nil {
-			st = &State{ID: id, Due: j.Accepted}
+	for id, job := range jobs {
+		state := states[id]
+		if state == nil {
+			state = &State{ID: id, Due: job.AcceptedAt}
 		}
-		st.Rev++
-		if st.Dead == "" {
-			st.Dead, st.Since = Salvaged, s.o.Now()
+		state.Revision++
+		if state.DeadReason == "" {
+			state.DeadReason, state.DeadSince = ReasonSalvaged, s.opts.Now()
 		}
-		rec, srec, key, e := encodeJob(j), encodeState(st), u64(id), entry(j)
+		jobRecord, stateRecord, idKey, indexEntry := encodeJob(job), encodeState(state), encodeUint64(id), encodeIndexEntry(job)
 		batch = append(batch, &write{apply: func(tx *bolt.Tx) error {
-			return errors.Join(tx.Bucket(bJobs).Put(key, rec), tx.Bucket(bStates).Put(key, srec), tx.Bucket(bDead).Put(key, e),
-				tx.Bucket(bHandles).Put([]byte(j.Handle), key))
+			return errors.Join(
+				tx.Bucket(jobsBucket).Put(idKey, jobRecord),
+				tx.Bucket(statesBucket).Put(idKey, stateRecord),
+				tx.Bucket(deadBucket).Put(idKey, indexEntry),
+				tx.Bucket(handlesBucket).Put([]byte(job.Handle), idKey))
 		}})
-		s.jobs, s.dead, s.bytes = s.jobs+1, s.dead+1, s.bytes+int64(len(j.Data))
-		if size += len(rec); size > maxBatchBytes || len(batch) >= maxBatch {
+		s.jobCount, s.deadCount, s.dataBytes = s.jobCount+1, s.deadCount+1, s.dataBytes+int64(len(job.Data))
+		if batchBytes += len(jobRecord); batchBytes > maxBatchBytes || len(batch) >= maxBatch {
 			if err := flush(); err != nil {
 				return err
 			}
@@ -98,87 +103,90 @@
 	if err := flush(); err != nil {
 		return err
 	}
-	s.log.Error("job store salvaged", "file", s.o.Path, "aside", aside, "jobs", len(jobs), "err", why)
+	s.log.Error("job store was damaged; salvaged its readable jobs as dead letters and kept the damaged file",
+		"file", s.opts.Path, "aside", damagedPath, "jobs", len(jobs), "err", cause)
 	return nil
 }
 
-// isTree tells whether a file begins as bbolt's do, on either of its first pages.
-func isTree(path string) bool {
+// isBoltFile reports whether one of the meta pages at the start of a file has bbolt's magic number.
+func isBoltFile(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = f.Close() }()
-	head := make([]byte, 64<<10)
-	n, _ := io.ReadFull(f, head)
-	return bytes.Contains(head[:n], []byte{0xed, 0xda, 0x0c, 0xed})
+	start := make([]byte, 64<<10)
+	n, _ := io.ReadFull(f, start)
+	return bytes.Contains(start[:n], []byte{0xed, 0xda, 0x0c, 0xed})
 }
 
-// scan finds the records in a file's bytes, whatever its tree says: the newest of each job.
-func scan(path string) (jobs map[uint64]*Job, states map[uint64]*State, highest uint64, err error) {
+// scanRecords searches a file for records without using its B+ tree. It returns the jobs, the latest
+// state of each, and the highest job ID.
+func scanRecords(path string) (jobs map[uint64]*Job, states map[uint64]*State, highestID uint64, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, nil, 0, err
 	}
 	defer func() { _ = f.Close() }()
 	jobs, states = map[uint64]*Job{}, map[uint64]*State{}
-	const window = 4 * (maxRecord + 64)
-	buf := make([]byte, 0, window)
-	for end := false; !end; {
+	const windowSize = 4 * (maxBodySize + 64)
+	buf := make([]byte, 0, windowSize)
+	for atEOF := false; !atEOF; {
 		n, err := io.ReadFull(f, buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		end = err != nil
-		at := 0
+		atEOF = err != nil
+		offset := 0
 		for {
-			i := bytes.Index(buf[at:], magic)
+			i := bytes.Index(buf[offset:], recordMagic)
 			if i < 0 {
-				at = max(at, len(buf)-len(magic)+1)
+				offset = max(offset, len(buf)-len(recordMagic)+1)
 				break
 			}
-			at += i
-			if !end && len(buf)-at < maxRecord+64 { // it may go on behind the window
+			offset += i
+			if !atEOF && len(buf)-offset < maxBodySize+64 { // the record may continue beyond the window
 				break
 			}
-			if j, size, err := decodeJob(buf[at:]); err == nil {
-				jobs[j.ID], highest = j, max(highest, j.ID)
-				at += size
-			} else if st, size, err := decodeState(buf[at:]); err == nil {
-				if old := states[st.ID]; old == nil || st.Rev > old.Rev {
-					states[st.ID] = st
+			if job, size, err := decodeJob(buf[offset:]); err == nil {
+				jobs[job.ID], highestID = job, max(highestID, job.ID)
+				offset += size
+			} else if state, size, err := decodeState(buf[offset:]); err == nil {
+				if old := states[state.ID]; old == nil || state.Revision > old.Revision {
+					states[state.ID] = state
 				}
-				at += size
+				offset += size
 			} else {
-				at++
+				offset++
 			}
 		}
-		buf = buf[:copy(buf[:cap(buf)], buf[min(at, len(buf)):])]
+		buf = buf[:copy(buf[:cap(buf)], buf[min(offset, len(buf)):])]
 	}
-	return jobs, states, highest, nil
+	return jobs, states, highestID, nil
 }
 
-// compaction is a copy of the file in the making. Meanwhile writes go to the old file, and are
-// kept to be repeated on the copy.
+// compaction is a compacted copy of the file that is being written. Meanwhile writes go to the old
+// file, and are kept to be repeated on the copy.
 type compaction struct {
-	path   string
-	db     *bolt.DB
-	err    error
-	copied chan struct{} // the copy of the snapshot is made, or has failed
-	mu     sync.Mutex
-	kept   []*write
-	size   int
-	over   bool
+	path         string
+	db           *bolt.DB
+	err          error
+	copied       chan struct{} // closed when the copy of the snapshot is complete or has failed
+	mu           sync.Mutex
+	pending      []*write
+	pendingBytes int
+	overflowed   bool // too many writes are pending; the compaction will be abandoned
 }
 
-func (c *compaction) keep(batch []*write) {
+// addPending keeps the committed writes of a batch, to be repeated on the copy.
+func (c *compaction) addPending(batch []*write) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range batch {
-		if w.err == nil && !c.over {
-			c.kept, c.size = append(c.kept, w), c.size+w.size
+		if w.err == nil && !c.overflowed {
+			c.pending, c.pendingBytes = append(c.pending, w), c.pendingBytes+w.size
 		}
 	}
-	if len(c.kept) > compactOps || c.size > compactBytes {
-		c.over, c.kept = true, nil // the copy is given up: nothing more is held for it
+	if len(c.pending) > maxPendingWrites || c.pendingBytes > maxPendingBytes {
+		c.overflowed, c.pending = true, nil // the compaction will be abandoned, so free the memory
 	}
 }
 
@@ -189,49 +197,53 @@
 	_ = os.Remove(c.path)
 }
 
-func (s *Store) compactions() chan struct{} {
+// copyDone returns a channel that is closed when the current compaction has copied its snapshot. It
+// returns nil, which blocks forever, if there is no compaction.
+func (s *Store) copyDone() chan struct{} {
 	if s.compacting != nil {
 		return s.compacting.copied
 	}
 	return nil
 }
 
-// perhapsCompact begins a compaction where most of the file is free.
-func (s *Store) perhapsCompact() {
-	if s.compacting != nil || s.commits%256 != 0 {
+// compactIfSparse starts a compaction if most of the file is free. It checks after every 256 commits.
+func (s *Store) compactIfSparse() {
+	if s.compacting != nil || s.commitCount%256 != 0 {
 		return
 	}
-	st := s.db.Stats()
-	info, err := os.Stat(s.o.Path)
-	if err == nil && info.Size() >= compactAt && float64(st.FreePageN*s.db.Info().PageSize) > compactShare*float64(info.Size()) {
-		s.compact()
+	stats := s.db.Stats()
+	info, err := os.Stat(s.opts.Path)
+	if err == nil && info.Size() >= minCompactFileBytes &&
+		float64(stats.FreePageN*s.db.Info().PageSize) > minCompactFreeShare*float64(info.Size()) {
+		s.startCompaction()
 	}
 }
 
-// compact begins to copy what is stored as of now into a new file. It is called by the writer.
-func (s *Store) compact() {
-	c := &compaction{path: s.o.Path + compactSuffix, copied: make(chan struct{})}
-	tx, err := s.db.Begin(false) // what comes after it is kept
+// startCompaction starts copying a snapshot of the store into a new file. It must be called from the
+// writer goroutine.
+func (s *Store) startCompaction() {
+	c := &compaction{path: s.opts.Path + compactSuffix, copied: make(chan struct{})}
+	tx, err := s.db.Begin(false) // later writes are kept by addPending
 	if err != nil {
 		return
 	}
 	s.compacting = c
 	go func() {
 		defer close(c.copied)
-		defer s.unfault(&c.err)()
+		defer s.recoverFault(&c.err)()
 		defer func() { _ = tx.Rollback() }()
-		o := s.options()
-		o.NoSync = true // it counts for nothing until it is synced as a whole
-		if c.db, c.err = bolt.Open(c.path, 0o600, o); c.err == nil {
+		opts := s.boltOptions()
+		opts.NoSync = true // the finished copy is synced once as a whole
+		if c.db, c.err = bolt.Open(c.path, 0o600, opts); c.err == nil {
 			c.err = copyAll(c.db, tx)
 		}
 	}()
 }
 
-// copyAll copies every bucket in its order, in transactions of bounded size.
+// copyAll copies every bucket in key order, in transactions of limited size.
 func copyAll(to *bolt.DB, from *bolt.Tx) error {
 	for _, b := range buckets {
-		var after []byte
+		var lastKey []byte
 		for more := true; more; {
 			err := to.Update(func(tx *bolt.Tx) error {
 				dst, err := tx.CreateBucketIfNotExists(b)
@@ -241,16 +253,16 @@
 				dst.FillPercent = 0.9
 				c, size := from.Bucket(b).Cursor(), 0
 				k, v := c.First()
-				if after != nil {
-					c.Seek(after)
+				if lastKey != nil {
+					c.Seek(lastKey)
 					k, v = c.Next()
 				}
-				for ; k != nil && size < compactTx; k, v = c.Next() {
+				for ; k != nil && size < copyTxBytes; k, v = c.Next() {
 					if err := dst.Put(k, v); err != nil {
 						return err
 					}
 					size += len(k) + len(v)
-					after = bytes.Clone(k)
+					lastKey = bytes.Clone(k)
 				}
 				more = k != nil
 				return nil
@@ -263,49 +275,50 @@
 	return nil
 }
 
-// swap puts the copy in the file's place: what was written meanwhile is repeated on it, it is
-// synced, and takes the file's name. A crash before the renaming leaves the old file, one after
-// it the new; both hold all. Writers wait for the repetition only, readers for the exchange.
-func (s *Store) swap() {
+// finishCompaction repeats the pending writes on the copy, syncs it, and renames it to the store's
+// file. A crash before the rename leaves the old file and one after it the new file; both are
+// complete. Writes are blocked from the repetition on, reads only during the rename.
+func (s *Store) finishCompaction() {
 	c := s.compacting
 	s.compacting = nil
 	err := c.err
-	if err == nil && c.over {
-		err = errors.New("too much was written meanwhile")
+	if err == nil && c.overflowed {
+		err = errors.New("too many writes during the copy")
 	}
-	for at := 0; err == nil && at < len(c.kept); {
-		end := min(at+maxBatch, len(c.kept))
-		batch := make([]*write, 0, end-at)
-		for _, w := range c.kept[at:end] {
+	for start := 0; err == nil && start < len(c.pending); {
+		end := min(start+maxBatch, len(c.pending))
+		batch := make([]*write, 0, end-start)
+		for _, w := range c.pending[start:end] {
 			batch = append(batch, &write{apply: w.apply})
 		}
-		err = s.transact(c.db, batch)
-		at = end
+		err = s.applyBatch(c.db, batch)
+		start = end
 	}
 	if err == nil {
 		err = c.db.Sync()
 	}
 	if err == nil {
-		c.db.NoSync = s.o.NoSync
-		s.file.Lock()
-		if err = os.Rename(c.path, s.o.Path); err == nil {
-			err = syncDir(s.o.Path)
+		c.db.NoSync = s.opts.NoSync
+		s.dbMu.Lock()
+		if err = os.Rename(c.path, s.opts.Path); err == nil {
+			err = syncDir(s.opts.Path)
 			old := s.db
 			s.db = c.db
 			_ = old.Close()
 		}
-		s.file.Unlock()
+		s.dbMu.Unlock()
 	}
 	if err != nil {
 		c.discard()
-		s.log.Warn("job store not compacted", "file", s.o.Path, "err", err)
+		s.log.Warn("job store not compacted", "file", s.opts.Path, "err", err)
 		return
 	}
-	if info, err := os.Stat(s.o.Path); err == nil {
-		s.log.Info("job store compacted", "file", s.o.Path, "bytes", info.Size())
+	if info, err := os.Stat(s.opts.Path); err == nil {
+		s.log.Info("job store compacted", "file", s.opts.Path, "bytes", info.Size())
 	}
 }
 
+// syncDir syncs the directory of a file, which makes a rename in it durable.
 func syncDir(path string) error {
 	d, err := os.Open(filepath.Dir(path))
 	if err != nil {
@@ -315,14 +328,15 @@
 	return d.Sync()
 }
 
-// Compact makes the file small now, and calls done when the copy has been begun.
+// Compact starts a compaction, unless one is running, and then calls done.
 func (s *Store) Compact(done func(error)) {
-	s.send(0, func(*bolt.Tx) error { return refusal{errCompact} }, func(error) {
+	s.enqueue(0, func(*bolt.Tx) error { return writeError{errCompact} }, func(error) {
 		if s.compacting == nil {
-			s.compact()
+			s.startCompaction()
 		}
 		done(nil)
 	})
 }
 
+// errCompact marks a write that changes nothing and only reaches the writer goroutine.
 var errCompact = errors.New("compact")
--- a/internal/jobstore/store.go
+++ b/internal/jobstore/store.go
@@ -1,10 +1,10 @@
-// Package jobstore keeps jobs on disk until they have ended, on bbolt: a job that Put has
-// called done for outlives the process. It decides nothing about them.
+// Package jobstore persists jobs in a bbolt file until they end. A job survives a restart of the
+// process once Put has reported success for it. The package has no scheduling policy.
 //
-// All writes go through one goroutine, which puts those that wait into one transaction: they
-// share its fsync (group commit). Each record carries a version and a checksum. A transaction
-// that a crash tore is undone by bbolt, whose two meta pages are written in turn; what this
-// package adds is the care for records and files that come back damaged.
+// One goroutine makes all writes and combines the queued ones into one transaction, so that they
+// share its fsync (group commit). Each record carries a version and a checksum. bbolt alternates
+// between two meta pages and so rolls back a transaction that a crash interrupted. This package
+// adds the detection of damaged records and files, and their recovery.
 package jobstore
 
 import (
@@ -22,101 +22,109 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors that a store gives. Any other is the disk's.
+// Errors of the store. All others come from bbolt or the file system.
 var (
 	ErrFull        = errors.New("the job store is full")
 	ErrUnavailable = errors.New("the job store is not available")
-	ErrUnknown     = errors.New("no such job is stored")
+	ErrNotFound    = errors.New("no such job is stored")
 	ErrClosed      = errors.New("the job store is closed")
 	errDamaged     = errors.New("the file is damaged")
 )
 
-// The buckets.
+// The buckets, with the layout of their keys and values.
 var (
-	bMeta    = []byte("meta")    // version, seen
-	bJobs    = []byte("jobs")    // id: a job's record
-	bStates  = []byte("states")  // id: a state's record
-	bDue     = []byte("due")     // queue, due, id: size, function
-	bDead    = []byte("dead")    // id: size, function
-	bHandles = []byte("handles") // handle: id
-	bUniques = []byte("uniques") // function 0 unique: id
-	bDamaged = []byte("damaged") // id: what was read in place of a record
-	buckets  = [][]byte{bMeta, bJobs, bStates, bDue, bDead, bHandles, bUniques, bDamaged}
+	metaBucket    = []byte("meta")    // versionKey, lastWriteKey and lastIDKey
+	jobsBucket    = []byte("jobs")    // ID: job record
+	statesBucket  = []byte("states")  // ID: state record
+	dueBucket     = []byte("due")     // queue, due time, ID: data size, function
+	deadBucket    = []byte("dead")    // ID: data size, function
+	handlesBucket = []byte("handles") // handle: ID
+	uniquesBucket = []byte("uniques") // function, zero byte, unique ID: ID
+	damagedBucket = []byte("damaged") // ID: bytes of the unreadable job record
+	buckets       = [][]byte{metaBucket, jobsBucket, statesBucket, dueBucket, deadBucket, handlesBucket, uniquesBucket, damagedBucket}
 
-	kVersion = []byte("version")
-	kSeen    = []byte("seen")
+	versionKey   = []byte("version")
+	lastWriteKey = []byte("seen") // Unix time of the last write
 )
 
-// Options of a store.
+// Options configures a store.
 type Options struct {
-	Path     string
-	MaxJobs  int                  // 0 for no bound; dead letters count
-	MaxBytes int64                // of jobs' data, 0 for no bound
-	MaxFile  int64                // of the file, 0 for no bound
-	Single   bool                 // a transaction for each write, to measure what sharing gains
-	NoSync   bool                 // for tests that make a million jobs
-	Now      func() time.Duration // Unix time that never goes back while the process lives
-	Log      *slog.Logger
-	// Commit is called between a transaction's writes and its commit, in tests.
-	Commit func() error
+	Path          string
+	MaxJobs       int                  // limit on stored jobs, including dead letters; 0 for no limit
+	MaxDataBytes  int64                // limit on the total size of the jobs' data; 0 for no limit
+	MaxFileBytes  int64                // limit on the file size; 0 for no limit
+	NoGroupCommit bool                 // commits each write in its own transaction, to measure the gain of group commit
+	NoSync        bool                 // skips fsync, for tests that store a million jobs
+	Now           func() time.Duration // Unix time; must not go back while the process runs
+	Log           *slog.Logger
+	// BeforeCommit, if set, is called before each commit, after the writes of the transaction. An
+	// error rolls the transaction back. Only tests set it.
+	BeforeCommit func() error
 }
 
 // Store is an open store. It is safe for concurrent use.
 type Store struct {
-	o      Options
-	log    *slog.Logger
-	writes chan *write
-	stop   chan struct{}
-	ended  chan struct{}
-	next   atomic.Uint64 // the last number given
+	opts       Options
+	log        *slog.Logger
+	writes     chan *write
+	stop       chan struct{}
+	writerDone chan struct{}
+	lastID     atomic.Uint64 // the highest ID given to a job
 
-	// The writer's own: how long transactions take, and how many have held one write since one held more.
-	took  time.Duration
-	vain  int
-	most  int // writes in one transaction lately: a peak that falls off
-	turns int
+	// Owned by the writer goroutine.
+	avgCommitTime  time.Duration // smoothed average
+	fruitlessWaits int           // batches of a single write since the last larger one
+	recentPeak     int           // size of the largest recent batch; decays
+	batches        int
 
-	closing sync.RWMutex
+	closeMu sync.RWMutex // held for reading while a write is being queued
 	closed  bool
 
-	db   *bolt.DB // replaced by compaction under file
-	file sync.RWMutex
+	db   *bolt.DB // replaced by a compaction while dbMu is held
+	dbMu sync.RWMutex
 
-	mu         sync.Mutex
-	jobs       int // stored, dead ones too
-	dead       int
-	bytes      int64
-	functions  map[string]int // stored and not dead
-	damaged    int
-	failed     time.Time // of the last commit, zero while all is well
-	why        error
-	broken     error // for good
-	back       bool  // the clock reads less than when the file was last written
-	compacting *compaction
-	commits    int
-	written    int
+	mu             sync.Mutex
+	jobCount       int // stored jobs, including dead letters
+	deadCount      int
+	dataBytes      int64
+	functionCounts map[string]int // stored jobs per function, without dead letters
+	damagedCount   int
+	failedAt       time.Time // time of the last commit if it failed, zero if it succeeded
+	commitErr      error     // error of the last commit, nil if it succeeded
+	damageErr      error     // set when damage is found, until the process restarts
+	clockSetBack   bool      // at the start the clock was behind the last write to the file
+	compacting     *compaction
+	commitCount    int
+	writeCount     int
 }
 
-// refusal marks an error of one write that leaves the others of its transaction alone.
-type refusal struct{ error }
+// writeError is the error of a single write. The other writes of its transaction are still
+// committed.
+type writeError struct{ error }
 
-func (r refusal) Unwrap() error { return r.error }
+func (e writeError) Unwrap() error { return e.error }
 
-// Open opens the store's file, or makes it. A file that is damaged beyond reading is set aside
-// and what can be found in it is taken over: see Salvaged.
-func Open(o Options) (*Store, error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+// Open opens the store's file and creates it if it does not exist. It renames a damaged file and
+// recovers the jobs that are still readable in it as dead letters; see ReasonSalvaged.
+func Open(opts Options) (*Store, error) {
+	if opts.Log == nil {
+		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Now == nil {
-		o.Now = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
+	if opts.Now == nil {
+		opts.Now = func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 	}
-	s := &Store{o: o, log: o.Log, writes: make(chan *write, queue), stop: make(chan struct{}), ended: make(chan struct{})}
-	if info, err := os.Stat(o.Path); err == nil && !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: not a file", o.Path)
+	s := &Store{
+		opts:       opts,
+		log:        opts.Log,
+		writes:     make(chan *write, writeQueueLen),
+		stop:       make(chan struct{}),
+		writerDone: make(chan struct{}),
 	}
-	_ = os.Remove(o.Path + compactSuffix) // an unfinished copy: the file itself is whole
-	if err := s.load(); err != nil {
+	if info, err := os.Stat(opts.Path); err == nil && !info.Mode().IsRegular() {
+		return nil, fmt.Errorf("%s: not a file", opts.Path)
+	}
+	_ = os.Remove(opts.Path + compactSuffix) // an unfinished copy; the original file is complete
+	if err := s.loadFile(); err != nil {
 		if !errors.Is(err, errDamaged) {
 			return nil, err
 		}
@@ -124,62 +132,62 @@
 			return nil, err
 		}
 	}
-	go s.run()
+	go s.runWriter()
 	return s, nil
 }
 
-// load opens the file and counts what is in it. A page that cannot be read, even one behind
-// the file's end, ends in errDamaged and not in the process's end.
-func (s *Store) load() (err error) {
-	if _, err := os.Stat(s.o.Path + salvageSuffix); err == nil {
-		return fmt.Errorf("%w: found when it was last in use", errDamaged)
+// loadFile opens the file and counts its jobs. If a page cannot be read, even one beyond the end
+// of the file, it returns errDamaged instead of crashing the process.
+func (s *Store) loadFile() (err error) {
+	if _, err := os.Stat(s.opts.Path + salvageSuffix); err == nil {
+		return fmt.Errorf("%w: the previous process found damage while it used the file", errDamaged)
 	}
-	defer s.unfault(&err)()
-	if err := s.walk(); err != nil {
+	defer s.recoverFault(&err)()
+	if err := s.checkTree(); err != nil {
 		return err
 	}
-	db, err := bolt.Open(s.o.Path, 0o600, s.options())
+	db, err := bolt.Open(s.opts.Path, 0o600, s.boltOptions())
 	if errors.Is(err, bolterrors.ErrInvalid) || errors.Is(err, bolterrors.ErrChecksum) || errors.Is(err, bolterrors.ErrVersionMismatch) {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	if err != nil {
 		return err
 	}
-	if err := db.Update(s.prepare); err != nil {
+	if err := db.Update(s.initBuckets); err != nil {
 		_ = db.Close()
 		return err
 	}
-	s.jobs, s.dead, s.bytes, s.damaged, s.functions = 0, 0, 0, 0, map[string]int{}
+	s.jobCount, s.deadCount, s.dataBytes, s.damagedCount, s.functionCounts = 0, 0, 0, 0, map[string]int{}
 	err = db.View(func(tx *bolt.Tx) error {
 		count := func(b []byte, live bool) error {
 			return tx.Bucket(b).ForEach(func(_, v []byte) error {
-				size, function := entryOf(v)
-				s.jobs++
-				s.bytes += size
+				size, function := decodeIndexEntry(v)
+				s.jobCount++
+				s.dataBytes += size
 				if live {
-					s.functions[function]++
+					s.functionCounts[function]++
 				} else {
-					s.dead++
+					s.deadCount++
 				}
 				return nil
 			})
 		}
-		if err := errors.Join(count(bDue, true), count(bDead, false)); err != nil {
+		if err := errors.Join(count(dueBucket, true), count(deadBucket, false)); err != nil {
 			return err
 		}
-		s.damaged = tx.Bucket(bDamaged).Stats().KeyN
-		if k, _ := tx.Bucket(bJobs).Cursor().Last(); len(k) == 8 {
-			s.next.Store(order.Uint64(k))
+		s.damagedCount = tx.Bucket(damagedBucket).Stats().KeyN
+		if k, _ := tx.Bucket(jobsBucket).Cursor().Last(); len(k) == 8 {
+			s.lastID.Store(byteOrder.Uint64(k))
 		}
-		if k, _ := tx.Bucket(bDamaged).Cursor().Last(); len(k) == 8 {
-			s.next.Store(max(s.next.Load(), order.Uint64(k)))
+		if k, _ := tx.Bucket(damagedBucket).Cursor().Last(); len(k) == 8 {
+			s.lastID.Store(max(s.lastID.Load(), byteOrder.Uint64(k)))
 		}
-		meta := tx.Bucket(bMeta)
-		if v := meta.Get(kLast); len(v) == 8 {
-			s.next.Store(max(s.next.Load(), order.Uint64(v)))
+		meta := tx.Bucket(metaBucket)
+		if v := meta.Get(lastIDKey); len(v) == 8 {
+			s.lastID.Store(max(s.lastID.Load(), byteOrder.Uint64(v)))
 		}
-		if v := meta.Get(kSeen); len(v) == 8 {
-			s.back = s.o.Now() < time.Duration(order.Uint64(v))
+		if v := meta.Get(lastWriteKey); len(v) == 8 {
+			s.clockSetBack = s.opts.Now() < time.Duration(byteOrder.Uint64(v))
 		}
 		return nil
 	})
@@ -191,15 +199,15 @@
 	return nil
 }
 
-// walk follows the file's tree to every page. bbolt does so itself when it opens a file, but on
-// a goroutine of its own, where a page that cannot be read ends the process.
-func (s *Store) walk() error {
-	if info, err := os.Stat(s.o.Path); err != nil || info.Size() == 0 {
-		return nil // there is none yet
+// checkTree visits every page of the B+ tree. bbolt does so too when it opens a file, but on its own
+// goroutine, where a fault on an unreadable page cannot be recovered and crashes the process.
+func (s *Store) checkTree() error {
+	if info, err := os.Stat(s.opts.Path); err != nil || info.Size() == 0 {
+		return nil // no file yet
 	}
-	o := s.options()
-	o.ReadOnly, o.MaxSize = true, 0
-	db, err := bolt.Open(s.o.Path, 0o600, o)
+	opts := s.boltOptions()
+	opts.ReadOnly, opts.MaxSize = true, 0
+	db, err := bolt.Open(s.opts.Path, 0o600, opts)
 	if errors.Is(err, bolterrors.ErrInvalid) || errors.Is(err, bolterrors.ErrChecksum) || errors.Is(err, bolterrors.ErrVersionMismatch) {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
@@ -209,9 +217,9 @@
 	defer func() { _ = db.Close() }()
 	return db.View(func(tx *bolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
-			var last []byte
+			var lastKey []byte
 			for c, k := b.Cursor(), []byte(nil); ; {
-				if last == nil {
+				if lastKey == nil {
 					k, _ = c.First()
 				} else {
 					k, _ = c.Next()
@@ -219,59 +227,66 @@
 				if k == nil {
 					return nil
 				}
-				if last != nil && bytes.Compare(last, k) >= 0 { // a page that is met twice, or out of its place
+				if lastKey != nil && bytes.Compare(lastKey, k) >= 0 { // a page is linked twice or misplaced
 					return fmt.Errorf("%w: keys of %s are out of order", errDamaged, name)
 				}
-				last = k
+				lastKey = k
 			}
 		})
 	})
 }
 
-func (s *Store) options() *bolt.Options {
-	return &bolt.Options{Timeout: lockWait, NoSync: s.o.NoSync, NoFreelistSync: true, FreelistType: bolt.FreelistMapType,
-		MaxSize: int(s.o.MaxFile)}
+func (s *Store) boltOptions() *bolt.Options {
+	return &bolt.Options{
+		Timeout:        fileLockTimeout,
+		NoSync:         s.opts.NoSync,
+		NoFreelistSync: true,
+		FreelistType:   bolt.FreelistMapType,
+		MaxSize:        int(s.opts.MaxFileBytes),
+	}
 }
 
-func (s *Store) prepare(tx *bolt.Tx) error {
+// initBuckets creates the missing buckets and checks the format version.
+func (s *Store) initBuckets(tx *bolt.Tx) error {
 	for _, b := range buckets {
 		if _, err := tx.CreateBucketIfNotExists(b); err != nil {
 			return err
 		}
 	}
-	meta := tx.Bucket(bMeta)
-	switch v := meta.Get(kVersion); {
+	meta := tx.Bucket(metaBucket)
+	switch v := meta.Get(versionKey); {
 	case v == nil:
-		return meta.Put(kVersion, []byte{formatVersion})
+		return meta.Put(versionKey, []byte{formatVersion})
 	case len(v) != 1 || v[0] == 0 || v[0] > formatVersion:
-		return fmt.Errorf("%s: format version %v is not known: made by a newer program?", s.o.Path, v)
+		return fmt.Errorf("%s: unknown format version %v; the file may have been written by a newer version of the program", s.opts.Path, v)
 	}
 	return nil
 }
 
-// unfault makes a fault on the mapped file a panic, and its deferred result makes a panic an
-// error: bbolt trusts its pages, and a file that was cut short ends behind its last page.
-func (s *Store) unfault(err *error) func() {
-	old := debug.SetPanicOnFault(true)
+// recoverFault makes memory faults on the mapped file panic instead of crashing the process. The
+// returned function, which the caller defers, turns such a panic into errDamaged. bbolt does not
+// validate its pages, and in a truncated file they refer to pages beyond its end.
+func (s *Store) recoverFault(err *error) func() {
+	previous := debug.SetPanicOnFault(true)
 	return func() {
-		debug.SetPanicOnFault(old)
-		if p := recover(); p != nil {
-			*err = fmt.Errorf("%w: %v", errDamaged, p)
+		debug.SetPanicOnFault(previous)
+		if cause := recover(); cause != nil {
+			*err = fmt.Errorf("%w: %v", errDamaged, cause)
 		}
 	}
 }
 
-var kLast = []byte("last") // the highest number given, so that none is given twice
+var lastIDKey = []byte("last") // the highest ID given to a job, so that none is reused
 
-// Close writes what waits and closes the file.
+// Close commits the queued writes and closes the file.
 func (s *Store) Close() error {
-	s.closing.Lock() // after the writers that wait; none comes after
+	s.closeMu.Lock() // waits for callers that are queueing a write; later ones get ErrClosed
 	s.closed = true
-	s.closing.Unlock()
+	s.closeMu.Unlock()
 	close(s.stop)
-	<-s.ended
-	s.file.Lock()
-	defer s.file.Unlock()
+	<-s.writerDone
+	s.dbMu.Lock()
+	defer s.dbMu.Unlock()
 	if c := s.compacting; c != nil {
 		<-c.copied
 		c.discard()
--- a/internal/limitedlog/limitedlog.go
+++ b/internal/limitedlog/limitedlog.go
@@ -1,6 +1,6 @@
-// Package limitedlog keeps a flood of bad input from flooding the log. The first complaint of a
-// peer and reason is a line of its own; what follows is counted, and the counts are told in one
-// line a minute at the most for each.
+// Package limitedlog limits the rate of log lines that bad input from peers causes. The first event
+// of a peer with a reason is logged at once. Further ones are counted, and logged together in at
+// most one line a minute.
 package limitedlog
 
 import (
@@ -11,84 +11,85 @@
 )
 
 const (
-	// most bounds the pairs of peer and reason that are told apart. What comes beyond falls
-	// into one pair for all, so that a flood from many addresses is bounded too.
-	most = 256
-	// again is the least time between two lines about one pair.
-	again = time.Minute
-	// others stands for the peers beyond the bound.
-	others = "others"
+	// maxKeys limits the pairs of peer and reason that are counted separately. Beyond it all peers
+	// share one counter for each message, so that the lines are limited for many addresses, too.
+	maxKeys = 256
+	// minInterval is the shortest time between two log lines for one key.
+	minInterval = time.Minute
+	// otherPeers is logged as the peer for events beyond maxKeys.
+	otherPeers = "others"
 )
 
-type pair struct{ from, reason string }
+// eventKey identifies the events that are counted together.
+type eventKey struct{ from, reason string }
 
-type tally struct {
-	told    time.Time
-	unheard int // since told
+type counter struct {
+	lastLogged time.Time
+	suppressed int // events since lastLogged that were not logged
 }
 
-// Logger counts complaints. Its zero value is not ready: use New. It is safe for concurrent use.
+// Logger logs events of peers at a limited rate. It must be created with New, and is safe for
+// concurrent use.
 type Logger struct {
 	log *slog.Logger
 	now func() time.Time
 
-	mu    sync.Mutex
-	pairs map[pair]*tally
+	mu       sync.Mutex
+	counters map[eventKey]*counter
 }
 
-// New returns a book that writes to the log. now is the clock, time.Now where nil.
+// New returns a Logger that writes to log. now is the clock; nil stands for time.Now.
 func New(log *slog.Logger, now func() time.Time) *Logger {
 	if now == nil {
 		now = time.Now
 	}
-	return &Logger{log: log, now: now, pairs: map[pair]*tally{}}
+	return &Logger{log: log, now: now, counters: map[eventKey]*counter{}}
 }
 
-// Report notes that a peer has given cause to. what is the log line's text and with what is
-// told in the line's further attributes. A peer is known by its host: ports change with every
-// connection of a client that tries again.
-func (b *Logger) Report(what string, from net.Addr, reason string, with ...any) {
+// Report logs or counts an event that a peer caused. attrs are further attributes of the log line.
+// Peers are told apart by host alone, since the port changes whenever a client reconnects.
+func (l *Logger) Report(message string, from net.Addr, reason string, attrs ...any) {
 	host := Host(from)
-	b.mu.Lock()
-	now := b.now()
-	p := pair{host, what + " " + reason}
-	t := b.pairs[p]
-	if t == nil && len(b.pairs) >= most {
-		b.sweep(now)
-		if len(b.pairs) >= most {
-			p = pair{others, what}
-			t = b.pairs[p]
+	l.mu.Lock()
+	now := l.now()
+	key := eventKey{host, message + " " + reason}
+	count := l.counters[key]
+	if count == nil && len(l.counters) >= maxKeys {
+		l.removeExpired(now)
+		if len(l.counters) >= maxKeys {
+			key = eventKey{otherPeers, message}
+			count = l.counters[key]
 		}
 	}
-	if t == nil {
-		t = &tally{}
-		b.pairs[p] = t
+	if count == nil {
+		count = &counter{}
+		l.counters[key] = count
 	}
-	if !t.told.IsZero() && now.Sub(t.told) < again {
-		t.unheard++
-		b.mu.Unlock()
+	if !count.lastLogged.IsZero() && now.Sub(count.lastLogged) < minInterval {
+		count.suppressed++
+		l.mu.Unlock()
 		return
 	}
-	unheard := t.unheard
-	t.told, t.unheard = now, 0
-	b.mu.Unlock()
-	args := append([]any{"from", p.from, "reason", reason}, with...)
-	if unheard > 0 {
-		args = append(args, "more", unheard)
+	suppressed := count.suppressed
+	count.lastLogged, count.suppressed = now, 0
+	l.mu.Unlock()
+	args := append([]any{"from", key.from, "reason", reason}, attrs...)
+	if suppressed > 0 {
+		args = append(args, "more", suppressed)
 	}
-	b.log.Warn(what, args...)
+	l.log.Warn(message, args...)
 }
 
-// sweep tells of and forgets the pairs that have been quiet for long.
-func (b *Logger) sweep(now time.Time) {
-	for p, t := range b.pairs {
-		if now.Sub(t.told) >= again {
-			delete(b.pairs, p)
+// removeExpired deletes the counters that were last logged at least minInterval ago.
+func (l *Logger) removeExpired(now time.Time) {
+	for key, count := range l.counters {
+		if now.Sub(count.lastLogged) >= minInterval {
+			delete(l.counters, key)
 		}
 	}
 }
 
-// Host is the part of an address that names the machine.
+// Host returns the host part of an address, or the whole address if it has no port.
 func Host(a net.Addr) string {
 	if a == nil {
 		return ""
--- a/internal/otlp/otlp_test.go
+++ b/internal/otlp/otlp_test.go
@@ -223,7 +223,7 @@
 		s.Play(collector.Script{Mode: collector.Refuse, Status: 503, Code: codes.Unavailable})
 		dir := t.TempDir()
 		open := func() *spool.Spool {
-			sp, err := spool.Open(spool.Options{Dir: dir, Bytes: 1 << 20})
+			sp, err := spool.Open(spool.Options{Dir: dir, MaxBytes: 1 << 20})
 			require.NoError(t, err)
 			return sp
 		}
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,13 +1,15 @@
-// Package spool keeps batches on disk until they are acknowledged: in order, in segment files of
-// bounded size and number, the oldest dropped first. It survives the end of the process, however
-// it ends; a record that was cut short is dropped, and one whose checksum does not match with what
-// follows it in its segment.
+// Package spool is a durable FIFO queue of records, such as batches of telemetry. Records stay on
+// disk until they are acknowledged. They are stored in segment files of limited size and number, and
+// the oldest segment is dropped when the spool is full. The spool survives a crash of the process. A
+// truncated record is dropped, and so is one with a wrong checksum, along with all records after it
+// in its segment.
 //
-// A segment is records, each
+// A segment is a sequence of records, each with the format
 //
 //	length(4, big-endian) crc32c(4, of kind and body) kind(1) body
 //
-// and the file "ack" holds, twice in turn, the place up to which all is acknowledged.
+// The file "ack" has two slots, written alternately, with the position up to which all records are
+// acknowledged.
 package spool
 
 import (
@@ -25,199 +27,203 @@
 )
 
 const (
-	head      = 9
-	maxRecord = 16 << 20
-	suffix    = ".seg"
-	ackSlot   = 32
+	headerSize     = 9 // length, checksum and kind
+	maxRecordBytes = 16 << 20
+	segmentSuffix  = ".seg"
+	ackSlotSize    = 32
 )
 
 var (
-	table = crc32.MakeTable(crc32.Castagnoli)
-	order = binary.BigEndian
-	// ErrTooLarge is Append's answer to a record that no segment can hold.
-	ErrTooLarge = errors.New("record over the spool's bound")
+	crcTable  = crc32.MakeTable(crc32.Castagnoli)
+	byteOrder = binary.BigEndian
+	// ErrTooLarge is returned by Append for a record that does not fit into a segment.
+	ErrTooLarge = errors.New("record exceeds the size limit of a spool segment")
 )
 
-// Options of a spool.
+// Options configures a spool.
 type Options struct {
-	Dir     string
-	Bytes   int64 // on disk at most
-	Segment int64 // a segment's size; an eighth of Bytes where 0
+	Dir          string
+	MaxBytes     int64 // limit on the total size of the segments
+	SegmentBytes int64 // limit on the size of a segment; if 0, an eighth of MaxBytes but at least 4 KiB
 }
 
-// Stats of a spool.
+// Stats holds statistics of a spool.
 type Stats struct {
-	Records, Bytes   int64 // that wait
-	Dropped, Damaged int64 // records that gave way to newer ones; stretches that could not be read
+	Records, Bytes int64 // records that are not acknowledged, and their size
+	Dropped        int64 // records dropped because the spool was full
+	Damaged        int64 // times that reading a segment stopped at a damaged record
 }
 
 // Spool is an open spool. It is safe for concurrent use.
 type Spool struct {
-	o        Options
+	opts     Options
 	mu       sync.Mutex
-	segments []segment // oldest first; the last is written to
-	out      *os.File
-	in       *os.File
-	inAt     place
-	acked    place
-	ack      *os.File
-	acks     uint64
+	segments []segment // oldest first; records are appended to the last
+	tail     *os.File  // the last segment
+	readFile *os.File  // the segment that Next reads, nil if none is open
+	readPos  position  // the start of the segment that readFile has open
+	acked    position  // all records before it are acknowledged
+	ackFile  *os.File
+	ackSeq   uint64 // sequence number of the last written slot of ackFile
 	stats    Stats
 }
 
+// segment describes a segment file.
 type segment struct {
-	n, size int64
-	records int64
+	number, size int64
+	records      int64 // records that are not acknowledged
 }
 
-// place is a record's start: a segment's number and an offset in it.
-type place struct{ segment, offset int64 }
+// position is the start of a record: the number of its segment and the offset in it.
+type position struct{ segment, offset int64 }
 
-func (p place) before(q place) bool {
-	return p.segment < q.segment || p.segment == q.segment && p.offset < q.offset
+func (p position) before(other position) bool {
+	return p.segment < other.segment || p.segment == other.segment && p.offset < other.offset
 }
 
-// Open opens the spool in a directory, which it makes.
-func Open(o Options) (*Spool, error) {
-	if o.Segment <= 0 {
-		o.Segment = max(4<<10, o.Bytes/8)
+// Open opens the spool in a directory and creates the directory if it does not exist.
+func Open(opts Options) (*Spool, error) {
+	if opts.SegmentBytes <= 0 {
+		opts.SegmentBytes = max(4<<10, opts.MaxBytes/8)
 	}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	s := &Spool{o: o}
+	s := &Spool{opts: opts}
 	var err error
-	if s.ack, err = os.OpenFile(filepath.Join(o.Dir, "ack"), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	if s.ackFile, err = os.OpenFile(filepath.Join(opts.Dir, "ack"), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, err
 	}
 	s.readAck()
-	names, err := filepath.Glob(filepath.Join(o.Dir, "*"+suffix))
+	names, err := filepath.Glob(filepath.Join(opts.Dir, "*"+segmentSuffix))
 	if err != nil {
 		return nil, err
 	}
 	for _, name := range names {
-		n, err := strconv.ParseInt(strings.TrimSuffix(filepath.Base(name), suffix), 10, 64)
+		number, err := strconv.ParseInt(strings.TrimSuffix(filepath.Base(name), segmentSuffix), 10, 64)
 		if err != nil {
 			continue
 		}
-		if n < s.acked.segment {
+		if number < s.acked.segment {
 			_ = os.Remove(name)
 			continue
 		}
-		s.segments = append(s.segments, segment{n: n})
+		s.segments = append(s.segments, segment{number: number})
 	}
-	slices.SortFunc(s.segments, func(a, b segment) int { return int(a.n - b.n) })
+	slices.SortFunc(s.segments, func(a, b segment) int { return int(a.number - b.number) })
 	for i := range s.segments {
-		if err := s.survey(&s.segments[i]); err != nil {
+		if err := s.scanSegment(&s.segments[i]); err != nil {
 			return nil, err
 		}
 	}
-	s.segments = slices.DeleteFunc(s.segments, func(g segment) bool { // each start leaves one at least
-		return g.size == 0 && os.Remove(s.path(g.n)) == nil
+	s.segments = slices.DeleteFunc(s.segments, func(seg segment) bool { // every start creates a segment, which may stay empty
+		return seg.size == 0 && os.Remove(s.path(seg.number)) == nil
 	})
-	next := s.acked.segment + 1
+	nextNumber := s.acked.segment + 1
 	if len(s.segments) > 0 {
-		next = max(next, s.segments[len(s.segments)-1].n+1)
-		if first := s.segments[0].n; s.acked.segment < first {
-			s.acked = place{first, 0}
+		nextNumber = max(nextNumber, s.segments[len(s.segments)-1].number+1)
+		if first := s.segments[0].number; s.acked.segment < first {
+			s.acked = position{first, 0}
 		}
 	} else {
-		s.acked = place{next, 0}
+		s.acked = position{nextNumber, 0}
 	}
-	return s, s.begin(next) // what a crash cut short is never written behind
+	return s, s.createSegment(nextNumber) // never append after a record that a crash truncated
 }
 
-func (s *Spool) path(n int64) string {
-	return filepath.Join(s.o.Dir, fmt.Sprintf("%016d%s", n, suffix))
+func (s *Spool) path(number int64) string {
+	return filepath.Join(s.opts.Dir, fmt.Sprintf("%016d%s", number, segmentSuffix))
 }
 
-// survey counts a segment's records, up to the first that cannot be read.
-func (s *Spool) survey(g *segment) error {
-	f, err := os.Open(s.path(g.n))
+// scanSegment counts a segment's records, up to the first unreadable one.
+func (s *Spool) scanSegment(seg *segment) error {
+	f, err := os.Open(s.path(seg.number))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = f.Close() }()
 	for {
-		_, body, err := read(f, g.size)
+		_, body, err := readRecord(f, seg.size)
 		if err != nil {
 			if err != io.EOF {
 				s.stats.Damaged++
 			}
 			return nil
 		}
-		if at := (place{g.n, g.size}); !at.before(s.acked) {
+		if at := (position{seg.number, seg.size}); !at.before(s.acked) {
 			s.stats.Records++
-			s.stats.Bytes += int64(head + len(body))
-			g.records++
+			s.stats.Bytes += int64(headerSize + len(body))
+			seg.records++
 		}
-		g.size += int64(head + len(body))
+		seg.size += int64(headerSize + len(body))
 	}
 }
 
-func (s *Spool) begin(n int64) error {
-	f, err := os.OpenFile(s.path(n), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+// createSegment creates a segment, to which records are appended from now on.
+func (s *Spool) createSegment(number int64) error {
+	f, err := os.OpenFile(s.path(number), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
 	}
-	if s.out != nil {
-		_ = s.out.Close()
+	if s.tail != nil {
+		_ = s.tail.Close()
 	}
-	s.out = f
-	s.segments = append(s.segments, segment{n: n})
+	s.tail = f
+	s.segments = append(s.segments, segment{number: number})
 	return nil
 }
 
-// read reads the record at an offset. io.EOF tells that there is none, another error that it is
-// cut short or damaged.
-func read(f io.ReaderAt, at int64) (kind byte, body []byte, err error) {
-	var h [head]byte
-	if n, err := f.ReadAt(h[:], at); n < head {
+// readRecord reads the record at an offset. It returns io.EOF if there is none, and another error if
+// the record is truncated or damaged.
+func readRecord(f io.ReaderAt, offset int64) (kind byte, body []byte, err error) {
+	var header [headerSize]byte
+	if n, err := f.ReadAt(header[:], offset); n < headerSize {
 		if n == 0 && err == io.EOF {
 			return 0, nil, io.EOF
 		}
 		return 0, nil, io.ErrUnexpectedEOF
 	}
-	size := order.Uint32(h[:])
-	if size > maxRecord {
-		return 0, nil, errors.New("length is wrong")
+	size := byteOrder.Uint32(header[:])
+	if size > maxRecordBytes {
+		return 0, nil, errors.New("record length exceeds the limit")
 	}
-	b := make([]byte, 1+size)
-	b[0] = h[8]
-	if n, _ := f.ReadAt(b[1:], at+head); n < int(size) {
+	contents := make([]byte, 1+size)
+	contents[0] = header[8]
+	if n, _ := f.ReadAt(contents[1:], offset+headerSize); n < int(size) {
 		return 0, nil, io.ErrUnexpectedEOF
 	}
-	if crc32.Checksum(b, table) != order.Uint32(h[4:]) {
+	if crc32.Checksum(contents, crcTable) != byteOrder.Uint32(header[4:]) {
 		return 0, nil, errors.New("checksum does not match")
 	}
-	return b[0], b[1:], nil
+	return contents[0], contents[1:], nil
 }
 
-// Append adds a record at the end. Where the bound is met the oldest segment gives way.
+// Append adds a record at the end. If the spool is full it drops the oldest segments.
 func (s *Spool) Append(kind byte, body []byte) error {
-	size := int64(head + len(body))
-	if size > s.o.Segment || size > maxRecord {
+	size := int64(headerSize + len(body))
+	if size > s.opts.SegmentBytes || size > maxRecordBytes {
 		return ErrTooLarge
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := &s.segments[len(s.segments)-1]
-	if last.size+size > s.o.Segment {
-		if err := s.begin(last.n + 1); err != nil {
+	if last.size+size > s.opts.SegmentBytes {
+		if err := s.createSegment(last.number + 1); err != nil {
 			return err
 		}
 		last = &s.segments[len(s.segments)-1]
 	}
-	for total := s.total() + size; total > s.o.Bytes && len(s.segments) > 1; total = s.total() + size {
-		s.drop()
+	for total := s.diskBytes() + size; total > s.opts.MaxBytes && len(s.segments) > 1; total = s.diskBytes() + size {
+		s.dropOldest()
 		last = &s.segments[len(s.segments)-1]
 	}
-	b := make([]byte, head, size)
-	order.PutUint32(b, uint32(len(body)))
-	b[8] = kind
-	b = append(b, body...)
-	order.PutUint32(b[4:], crc32.Checksum(b[8:], table))
-	if _, err := s.out.WriteAt(b, last.size); err != nil { // what is half there is written over, or surveyed as cut short
+	record := make([]byte, headerSize, size)
+	byteOrder.PutUint32(record, uint32(len(body)))
+	record[8] = kind
+	record = append(record, body...)
+	byteOrder.PutUint32(record[4:], crc32.Checksum(record[8:], crcTable))
+	if _, err := s.tail.WriteAt(record, last.size); err != nil {
+		// The next record overwrites a partial one. After a restart it is read as truncated.
 		return err
 	}
 	last.size += size
@@ -227,154 +233,158 @@
 	return nil
 }
 
-func (s *Spool) total() (n int64) {
-	for _, g := range s.segments {
-		n += g.size
+func (s *Spool) diskBytes() (n int64) {
+	for _, seg := range s.segments {
+		n += seg.size
 	}
 	return n
 }
 
-// drop gives up the oldest segment. s.mu is held.
-func (s *Spool) drop() {
-	g := s.segments[0]
+// dropOldest drops the oldest segment with its unacknowledged records. s.mu must be held.
+func (s *Spool) dropOldest() {
+	oldest := s.segments[0]
 	s.segments = s.segments[1:]
-	s.stats.Dropped += g.records
-	s.stats.Records -= g.records
-	if s.inAt.segment == g.n && s.in != nil {
-		_ = s.in.Close()
-		s.in = nil
+	s.stats.Dropped += oldest.records
+	s.stats.Records -= oldest.records
+	if s.readPos.segment == oldest.number && s.readFile != nil {
+		_ = s.readFile.Close()
+		s.readFile = nil
 	}
-	_ = os.Remove(s.path(g.n))
-	if s.acked.segment <= g.n {
-		s.acked = place{s.segments[0].n, 0}
+	_ = os.Remove(s.path(oldest.number))
+	if s.acked.segment <= oldest.number {
+		s.acked = position{s.segments[0].number, 0}
 	}
 	s.stats.Bytes = 0
-	for _, g := range s.segments {
-		s.stats.Bytes += g.size
+	for _, seg := range s.segments {
+		s.stats.Bytes += seg.size
 	}
-	if s.segments[0].n == s.acked.segment {
+	if s.segments[0].number == s.acked.segment {
 		s.stats.Bytes -= s.acked.offset
 	}
 }
 
-// Token names a record that Next has returned.
-type Token struct{ at, end place }
+// Token identifies a record that Next has returned.
+type Token struct{ start, end position }
 
-// Next returns the oldest record that is not acknowledged, or false where there is none. It
-// returns the same until Ack.
-func (s *Spool) Next() (kind byte, body []byte, t Token, ok bool) {
+// Next returns the oldest record that is not acknowledged, or false if there is none. It returns the
+// same record until Ack is called with its token.
+func (s *Spool) Next() (kind byte, body []byte, token Token, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
-		g := s.segments[0]
-		at := max(0, s.acked.offset)
-		if s.acked.segment != g.n {
-			at = 0
-			s.acked = place{g.n, 0}
+		oldest := s.segments[0]
+		offset := max(0, s.acked.offset)
+		if s.acked.segment != oldest.number {
+			offset = 0
+			s.acked = position{oldest.number, 0}
 		}
-		if at >= g.size {
+		if offset >= oldest.size {
 			if len(s.segments) == 1 {
 				return 0, nil, Token{}, false
 			}
-			s.retire()
+			s.removeAcknowledged()
 			continue
 		}
-		if s.in == nil || s.inAt.segment != g.n {
-			if s.in != nil {
-				_ = s.in.Close()
+		if s.readFile == nil || s.readPos.segment != oldest.number {
+			if s.readFile != nil {
+				_ = s.readFile.Close()
 			}
 			var err error
-			if s.in, err = os.Open(s.path(g.n)); err != nil {
+			if s.readFile, err = os.Open(s.path(oldest.number)); err != nil {
 				s.stats.Damaged++
-				s.retireDamaged()
+				s.skipDamaged()
 				continue
 			}
-			s.inAt = place{g.n, 0}
+			s.readPos = position{oldest.number, 0}
 		}
-		kind, body, err := read(s.in, at)
-		if err != nil { // what follows it in the segment cannot be found
+		kind, body, err := readRecord(s.readFile, offset)
+		if err != nil { // the start of the next record in the segment is unknown
 			s.stats.Damaged++
-			s.retireDamaged()
+			s.skipDamaged()
 			continue
 		}
-		return kind, body, Token{place{g.n, at}, place{g.n, at + int64(head+len(body))}}, true
+		start := position{oldest.number, offset}
+		end := position{oldest.number, offset + int64(headerSize+len(body))}
+		return kind, body, Token{start, end}, true
 	}
 }
 
-// retire removes the oldest segment, all of which is acknowledged. s.mu is held.
-func (s *Spool) retire() {
-	g := s.segments[0]
+// removeAcknowledged deletes the oldest segment, whose records are all acknowledged. s.mu must be
+// held.
+func (s *Spool) removeAcknowledged() {
+	oldest := s.segments[0]
 	s.segments = s.segments[1:]
-	s.acked = place{s.segments[0].n, 0}
+	s.acked = position{s.segments[0].number, 0}
 	_ = s.writeAck()
-	_ = os.Remove(s.path(g.n))
+	_ = os.Remove(s.path(oldest.number))
 }
 
-// retireDamaged passes over the rest of the oldest segment. s.mu is held.
-func (s *Spool) retireDamaged() {
-	g := &s.segments[0]
-	s.stats.Records -= g.records
-	s.stats.Bytes -= g.size - s.acked.offset
-	g.records, g.size = 0, s.acked.offset
+// skipDamaged skips the rest of the oldest segment. s.mu must be held.
+func (s *Spool) skipDamaged() {
+	oldest := &s.segments[0]
+	s.stats.Records -= oldest.records
+	s.stats.Bytes -= oldest.size - s.acked.offset
+	oldest.records, oldest.size = 0, s.acked.offset
 	if len(s.segments) == 1 {
-		_ = s.begin(g.n + 1)
+		_ = s.createSegment(oldest.number + 1)
 	}
 }
 
-// Ack notes that a record was taken, so that it is not returned again, by a later process
-// neither. A record that gave way meanwhile is past anyway.
-func (s *Spool) Ack(t Token) error {
+// Ack acknowledges a record, so that it is not returned again, not even after a restart. If the
+// record was dropped since Next returned it, Ack does nothing.
+func (s *Spool) Ack(token Token) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.acked != t.at {
+	if s.acked != token.start {
 		return nil
 	}
-	s.acked = t.end
+	s.acked = token.end
 	s.stats.Records--
-	s.stats.Bytes -= t.end.offset - t.at.offset
+	s.stats.Bytes -= token.end.offset - token.start.offset
 	s.segments[0].records--
 	return s.writeAck()
 }
 
-// writeAck writes the place into one of two slots in turn: one that a crash cuts short leaves the
-// other.
+// writeAck writes the acknowledged position. It alternates between two slots, so that a crash while
+// one is written leaves the other intact.
 func (s *Spool) writeAck() error {
-	s.acks++
-	b := make([]byte, 0, ackSlot)
-	b = order.AppendUint64(b, s.acks)
-	b = order.AppendUint64(b, uint64(s.acked.segment))
-	b = order.AppendUint64(b, uint64(s.acked.offset))
-	b = order.AppendUint32(b, crc32.Checksum(b, table))
-	_, err := s.ack.WriteAt(b, int64(s.acks%2)*ackSlot)
+	s.ackSeq++
+	slot := make([]byte, 0, ackSlotSize)
+	slot = byteOrder.AppendUint64(slot, s.ackSeq)
+	slot = byteOrder.AppendUint64(slot, uint64(s.acked.segment))
+	slot = byteOrder.AppendUint64(slot, uint64(s.acked.offset))
+	slot = byteOrder.AppendUint32(slot, crc32.Checksum(slot, crcTable))
+	_, err := s.ackFile.WriteAt(slot, int64(s.ackSeq%2)*ackSlotSize)
 	return err
 }
 
+// readAck reads the acknowledged position from the valid slot with the higher sequence number.
 func (s *Spool) readAck() {
 	for slot := range int64(2) {
 		b := make([]byte, 28)
-		if n, _ := s.ack.ReadAt(b, slot*ackSlot); n < len(b) || crc32.Checksum(b[:24], table) != order.Uint32(b[24:]) {
+		if n, _ := s.ackFile.ReadAt(b, slot*ackSlotSize); n < len(b) || crc32.Checksum(b[:24], crcTable) != byteOrder.Uint32(b[24:]) {
 			continue
 		}
-		if n := order.Uint64(b); n > s.acks {
-			s.acks = n
-			s.acked = place{int64(order.Uint64(b[8:])), int64(order.Uint64(b[16:]))}
+		if seq := byteOrder.Uint64(b); seq > s.ackSeq {
+			s.ackSeq = seq
+			s.acked = position{int64(byteOrder.Uint64(b[8:])), int64(byteOrder.Uint64(b[16:]))}
 		}
 	}
 }
 
-// Stats tells how much waits, and what was lost.
+// Stats returns the statistics of the spool since Open.
 func (s *Spool) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Close closes the files; what waits stays.
+// Close closes the files. Records that are not acknowledged stay on disk.
 func (s *Spool) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.in != nil {
-		_ = s.in.Close()
+	if s.readFile != nil {
+		_ = s.readFile.Close()
 	}
-	return errors.Join(s.out.Sync(), s.out.Close(), s.ack.Close())
+	return errors.Join(s.tail.Sync(), s.tail.Close(), s.ackFile.Close())
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -19,30 +19,30 @@
 
 func open(t testing.TB, dir string, bytes int64) *Spool {
 	t.Helper()
-	s, err := Open(Options{Dir: dir, Bytes: bytes})
+	s, err := Open(Options{Dir: dir, MaxBytes: bytes})
 	require.NoError(t, err)
 	return s
 }
 
-func drain(t testing.TB, s *Spool, most int) (all []string) {
-	for range most {
+func ackAll(t testing.TB, s *Spool, limit int) (bodies []string) {
+	for range limit {
 		_, body, token, ok := s.Next()
 		if !ok {
 			break
 		}
-		all = append(all, string(body))
+		bodies = append(bodies, string(body))
 		require.NoError(t, s.Ack(token))
 	}
-	return all
+	return bodies
 }
 
-func TestOrderAcrossARestart(t *testing.T) {
+func TestOrderAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, 1<<20)
 	for i := range 100 {
 		require.NoError(t, s.Append(byte(i), []byte(fmt.Sprint(i))))
 	}
-	first := drain(t, s, 40)
+	first := ackAll(t, s, 40)
 	_, body, _, ok := s.Next()
 	require.True(t, ok)
 	require.Equal(t, "40", string(body))
@@ -50,7 +50,7 @@
 	s = open(t, dir, 1<<20)
 	require.EqualValues(t, 60, s.Stats().Records)
 	require.NoError(t, s.Append(0, []byte("100")))
-	got := append(first, drain(t, s, 1000)...)
+	got := append(first, ackAll(t, s, 1000)...)
 	require.Len(t, got, 101)
 	for i, x := range got {
 		require.Equal(t, fmt.Sprint(i), x)
@@ -58,12 +58,12 @@
 	require.Zero(t, s.Stats().Records)
 	require.Zero(t, s.Stats().Bytes)
 	require.NoError(t, s.Close())
-	names, err := filepath.Glob(filepath.Join(dir, "*"+suffix))
+	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentSuffix))
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(names), 2, "what is acknowledged is removed")
+	require.LessOrEqual(t, len(names), 2, "segments without unacknowledged records must be deleted")
 }
 
-func TestOldestGivesWay(t *testing.T) {
+func TestDropsOldestSegment(t *testing.T) {
 	s := open(t, t.TempDir(), 64<<10)
 	for i := range 5000 {
 		require.NoError(t, s.Append(0, []byte(fmt.Sprintf("%06d%s", i, strings.Repeat("x", 100)))))
@@ -71,7 +71,7 @@
 	}
 	require.ErrorIs(t, s.Append(0, make([]byte, 64<<10)), ErrTooLarge)
 	st := s.Stats()
-	got := drain(t, s, 10_000)
+	got := ackAll(t, s, 10_000)
 	require.EqualValues(t, 5000, int64(len(got))+st.Dropped)
 	require.Equal(t, "004999", got[len(got)-1][:6])
 	for i := 1; i < len(got); i++ {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A record that was given way while it was being sent is not acknowledged in another's place.
+// Acknowledging a record that was dropped while it was being sent must not acknowledge another one.
 func TestAckAfterDrop(t *testing.T) {
 	s := open(t, t.TempDir(), 32<<10)
 	require.NoError(t, s.Append(0, []byte("old")))
@@ -93,48 +93,48 @@
 	require.Equal(t, before, s.Stats().Records)
 }
 
-// A damaged stretch costs its segment's rest, and nothing of another.
-func TestDamage(t *testing.T) {
+// A damaged record loses the rest of its segment, but nothing of other segments.
+func TestDamagedSegment(t *testing.T) {
 	dir := t.TempDir()
 	s := open(t, dir, 64<<10)
 	for i := range 300 {
 		require.NoError(t, s.Append(0, []byte(fmt.Sprintf("%04d%s", i, strings.Repeat("x", 100)))))
 	}
-	names, err := filepath.Glob(filepath.Join(dir, "*"+suffix))
+	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentSuffix))
 	require.NoError(t, err)
 	require.Greater(t, len(names), 3)
 	b, err := os.ReadFile(names[1])
 	require.NoError(t, err)
 	b[len(b)/2] ^= 1
 	require.NoError(t, os.WriteFile(names[1], b, 0o600))
-	got := drain(t, s, 1000)
+	got := ackAll(t, s, 1000)
 	require.EqualValues(t, 1, s.Stats().Damaged)
 	require.Greater(t, len(got), 250)
 	require.Less(t, len(got), 300)
 	require.Equal(t, "0299", got[len(got)-1][:4])
 	require.NoError(t, s.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "ack"), []byte("nonsense"), 0o600))
-	require.Less(t, len(drain(t, open(t, dir, 64<<10), 1000)), 100, "without its acknowledgements the one segment that is left comes again")
+	require.Less(t, len(ackAll(t, open(t, dir, 64<<10), 1000)), 100, "without a valid acknowledged position, only the remaining segment is read again")
 }
 
-// Appends, reads, acknowledgements, restarts and cuts in any order: what comes out is in order,
-// nothing that was acknowledged comes again, and nothing that is whole is lost but by the bound.
+// Random sequences of appends, reads, acknowledgements, restarts and truncated records. Records are
+// read in order, none is read again after its acknowledgement, and no complete one is lost.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "spool")
 		require.NoError(rt, err)
 		defer func() { _ = os.RemoveAll(dir) }()
-		s, err := Open(Options{Dir: dir, Bytes: 1 << 20, Segment: 200})
+		s, err := Open(Options{Dir: dir, MaxBytes: 1 << 20, SegmentBytes: 200})
 		require.NoError(rt, err)
 		var want []string
-		n := 0
+		appended := 0
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
-				n++
-				x := fmt.Sprint(n, strings.Repeat("x", rapid.IntRange(0, 60).Draw(rt, "size")))
-				require.NoError(rt, s.Append(1, []byte(x)))
-				want = append(want, x)
+				appended++
+				body := fmt.Sprint(appended, strings.Repeat("x", rapid.IntRange(0, 60).Draw(rt, "size")))
+				require.NoError(rt, s.Append(1, []byte(body)))
+				want = append(want, body)
 			case 2, 3:
 				_, body, token, ok := s.Next()
 				require.Equal(rt, len(want) > 0, ok)
@@ -145,15 +145,15 @@
 						want = want[1:]
 					}
 				}
-			case 4: // a restart, perhaps in the middle of a record
+			case 4: // a restart, possibly after a truncated record
 				require.NoError(rt, s.Close())
 				if rapid.Bool().Draw(rt, "cut") {
-					f, err := os.OpenFile(s.path(s.segments[len(s.segments)-1].n), os.O_APPEND|os.O_WRONLY, 0o600)
+					f, err := os.OpenFile(s.path(s.segments[len(s.segments)-1].number), os.O_APPEND|os.O_WRONLY, 0o600)
 					require.NoError(rt, err)
 					_, _ = f.Write([]byte("\x00\x00\x00\x20half of a record")[:rapid.IntRange(1, 20).Draw(rt, "bytes")])
 					require.NoError(rt, f.Close())
 				}
-				s, err = Open(Options{Dir: dir, Bytes: 1 << 20, Segment: 200})
+				s, err = Open(Options{Dir: dir, MaxBytes: 1 << 20, SegmentBytes: 200})
 				require.NoError(rt, err)
 				require.EqualValues(rt, len(want), s.Stats().Records)
 			}
@@ -161,18 +161,18 @@
 	})
 }
 
-// TestMain lets the test below run a writer that is killed.
+// TestMain runs appendAndAck instead of the tests in the processes that TestKilledProcess starts.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SPOOL_TEST_DIR"); dir != "" {
-		churn(dir)
+		appendAndAck(dir)
 	}
 	os.Exit(m.Run())
 }
 
-// churn appends numbers and sends what is oldest, which it prints before it acknowledges it, as a
-// collector would have it by then.
-func churn(dir string) {
-	s, err := Open(Options{Dir: dir, Bytes: 1 << 30, Segment: 4 << 10})
+// appendAndAck appends numbers and acknowledges the oldest ones. It prints each number before it
+// acknowledges it, like an exporter whose collector has received it by then.
+func appendAndAck(dir string) {
+	s, err := Open(Options{Dir: dir, MaxBytes: 1 << 30, SegmentBytes: 4 << 10})
 	if err != nil {
 		panic(err)
 	}
@@ -194,45 +194,45 @@
 	}
 }
 
-// A process that is killed in mid-write or mid-send sends nothing again that it has acknowledged,
-// and loses nothing that was written whole.
-func TestKill(t *testing.T) {
+// After a process is killed during a write or a send, no acknowledged record is sent again and no
+// completely written one is lost.
+func TestKilledProcess(t *testing.T) {
 	dir := t.TempDir()
 	put, sent, acked := map[int]bool{}, map[int]int{}, map[int]bool{}
-	last, from, again := -1, 0, 0
+	lastSent, next, resent := -1, 0, 0
 	for round := range 12 {
 		p := exec.Command(os.Args[0])
-		p.Env = append(os.Environ(), "SPOOL_TEST_DIR="+dir, "SPOOL_TEST_FROM="+strconv.Itoa(from))
+		p.Env = append(os.Environ(), "SPOOL_TEST_DIR="+dir, "SPOOL_TEST_FROM="+strconv.Itoa(next))
 		out, err := p.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, p.Start())
 		time.AfterFunc(time.Duration(20+7*round)*time.Millisecond, func() { _ = p.Process.Kill() })
 		for in := bufio.NewScanner(out); in.Scan(); {
-			what, number, _ := strings.Cut(in.Text(), " ")
+			event, number, _ := strings.Cut(in.Text(), " ")
 			n, err := strconv.Atoi(number)
 			if err != nil {
-				break // cut short
+				break // a truncated line
 			}
-			switch what {
+			switch event {
 			case "put":
 				put[n] = true
-				from = max(from, n+2) // one more may be written, and not be told of
+				next = max(next, n+2) // one more may be written but not printed
 			case "sent":
 				require.False(t, acked[n], "%d was acknowledged and is sent again", n)
 				if sent[n]++; sent[n] > 1 {
-					again++
+					resent++
 				}
-				require.GreaterOrEqual(t, n, last)
-				last = n
+				require.GreaterOrEqual(t, n, lastSent)
+				lastSent = n
 			case "acked":
 				acked[n] = true
 			}
 		}
 		_ = p.Wait()
 	}
-	s, err := Open(Options{Dir: dir, Bytes: 1 << 30, Segment: 4 << 10})
+	s, err := Open(Options{Dir: dir, MaxBytes: 1 << 30, SegmentBytes: 4 << 10})
 	require.NoError(t, err)
-	for _, x := range drain(t, s, 1<<30) {
+	for _, x := range ackAll(t, s, 1<<30) {
 		n, err := strconv.Atoi(x)
 		require.NoError(t, err)
 		require.False(t, acked[n])
@@ -241,6 +241,6 @@
 	for n := range put {
 		require.Positive(t, sent[n], "%d is lost", n)
 	}
-	require.LessOrEqual(t, again, 12, "one may be in flight at each kill")
-	t.Logf("%d written, %d acknowledged before a kill, %d sent twice", len(put), len(acked), again)
+	require.LessOrEqual(t, resent, 12, "at most one record may be in flight at each kill")
+	t.Logf("%d written, %d acknowledged before a kill, %d sent twice", len(put), len(acked), resent)
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -128,7 +128,7 @@
 		lane := otlp.Options{Signal: s, Transport: transport, Log: log, Bytes: int64(laneShare * float64(o.Sampling.Bytes)), Pace: o.SpoolInterval,
 			Seed: uint64(time.Now().UnixNano())}
 		if o.SpoolDir != "" {
-			if lane.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(o.SpoolDir, s.String()), Bytes: o.SpoolMaxBytes / int64(len(o.Endpoints))}); err != nil {
+			if lane.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(o.SpoolDir, s.String()), MaxBytes: o.SpoolMaxBytes / int64(len(o.Endpoints))}); err != nil {
 				stop()
 				return nil, fmt.Errorf("telemetry: spool.dir: %w", err)
 			}
