--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -42,7 +42,7 @@
 		"unknown message":  {`["huh",0]`, "internal_error", "unknown message"},
 		"missing value":    {`["ask",0,9,"clip"]`, "internal_error", "patience_left_s"},
 		"unknown instance": {`["alarm",8,1]`, "internal_error", "unknown instance 8"},
-		"bad settings":     {`["up",1,7,{"classes":[]}]`, "internal_error", "Classes"},
+		"bad settings":     {`["up",1,7,{"classes":[]}]`, "internal_error", "there are no classes"},
 	} {
 		out, errs := runInput(t, createInstance+"\n"+c.line+"\n[\"over_to_you\"]\n")
 		if !strings.Contains(errs, c.errs) || !strings.Contains(out, c.fault) || !strings.HasSuffix(out, "[\"eor\"]\n") {
