--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -77,27 +77,27 @@
 		return nil
 	}
 	switch event.Kind {
-	case wire.Frame:
+	case wire.FrameStart:
 		s.frame.Now = event.Now
-	case wire.End:
+	case wire.FrameEnd:
 		_, _ = s.out.WriteString("[\"eor\"]\n")
 		if err := s.out.Flush(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
-	case wire.Up:
-		encoder := wire.NewEncoder(s.out, event.Inst)
+	case wire.InstanceStart:
+		encoder := wire.NewEncoder(s.out, event.InstanceID)
 		balancer, err := balance.New(*event.Settings, encoder)
 		if err != nil {
 			s.reportError(event, err)
 			return nil
 		}
-		s.instances[event.Inst] = &instance{balancer, encoder}
-	case wire.Kill:
-		delete(s.instances, event.Inst)
+		s.instances[event.InstanceID] = &instance{balancer, encoder}
+	case wire.InstanceStop:
+		delete(s.instances, event.InstanceID)
 	default:
-		target := s.instances[event.Inst]
+		target := s.instances[event.InstanceID]
 		if target == nil {
-			s.reportError(event, fmt.Errorf("unknown instance %d", event.Inst))
+			s.reportError(event, fmt.Errorf("unknown instance %d", event.InstanceID))
 			return nil
 		}
 		s.deliver(target.balancer, event)
@@ -108,24 +108,24 @@
 func (s *server) deliver(balancer *balance.Balancer, event *wire.Event) {
 	now := s.frame.Now
 	switch event.Kind {
-	case wire.Members:
-		balancer.UpdateMembers(now, event.List, event.Members)
-	case wire.Request:
+	case wire.MembershipUpdate:
+		balancer.UpdateMembers(now, event.UpdateKind, event.Members)
+	case wire.JobSubmitted:
 		balancer.SubmitJob(now, event.Job)
-	case wire.First:
+	case wire.StreamStarted:
 		balancer.StreamStarted(now, event.Job.ID, event.Result.Attempt)
-	case wire.Outcome:
+	case wire.AttemptDone:
 		balancer.AttemptDone(now, event.Result)
-	case wire.Gone:
+	case wire.ClientGone:
 		balancer.ClientGone(now, event.Job.ID)
-	case wire.Timer:
-		balancer.TimerFired(now, event.Token)
-	case wire.Peer:
-		balancer.PeerMessage(now, event.From, event.Data)
-	case wire.Probed:
+	case wire.TimerFired:
+		balancer.TimerFired(now, event.TimerToken)
+	case wire.PeerMessage:
+		balancer.PeerMessage(now, event.Peer, event.Data)
+	case wire.ProbeDone:
 		balancer.ProbeDone(now, event.Result.Worker, event.Result.Status, event.Result.Elapsed, event.Result.Report)
-	case wire.Note:
-		balancer.AttemptEvent(now, event.Job.ID, event.Result.Attempt, event.Note, event.Amount)
+	case wire.AttemptEvent:
+		balancer.AttemptEvent(now, event.Job.ID, event.Result.Attempt, event.AttemptEvent, event.Amount)
 	}
 }
 
@@ -133,7 +133,7 @@
 // fault of that instance on standard output.
 func (s *server) reportError(event *wire.Event, err error) {
 	fmt.Fprintln(s.errOut, "drill:", err)
-	if event.HasInst {
-		wire.NewEncoder(s.out, event.Inst).Fault(err.Error())
+	if event.HasInstanceID {
+		wire.NewEncoder(s.out, event.InstanceID).Fault(err.Error())
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -250,7 +250,7 @@
 			}
 			printf("telemetry: %s go to %s over %s, within %v", signal, endpoint.URL, protocol, endpoint.Timeout)
 		}
-		printf("  %d KB of memory at most, %g ordinary requests kept a second", telemetry.Sampling.Bytes>>10, telemetry.Sampling.Rate)
+		printf("  %d KB of memory at most, %g ordinary requests kept a second", telemetry.Sampling.MaxBytes>>10, telemetry.Sampling.TracesPerSecond)
 		if telemetry.SpoolDir != "" {
 			printf("  what is not taken waits in %s, %d MB at most", telemetry.SpoolDir, telemetry.SpoolMaxBytes>>20)
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -158,7 +158,7 @@
 		otlp.Traces:  {URL: "http://file:4318/v1/traces", Timeout: 3 * time.Second, Headers: map[string]string{"a": "b"}, Gzip: true},
 		otlp.Metrics: {URL: "https://env/m", GRPC: true, Timeout: 1500 * time.Millisecond, Headers: map[string]string{"a": "f", "c": "d e"}, Gzip: true},
 	}, c.Endpoints)
-	require.Equal(t, tailsampling.Limits{Bytes: 1000, Rate: defaultTraceRate, Slow: 2 * time.Second}, c.Sampling)
+	require.Equal(t, tailsampling.Limits{MaxBytes: 1000, TracesPerSecond: defaultTraceRate, SlowThreshold: 2 * time.Second}, c.Sampling)
 	const valid = "endpoint = 'http://x'\n"
 	for text, key := range map[string]string{
 		"endpoint = 'x'":                   "endpoint",
--- a/internal/config/telemetry.go
+++ b/internal/config/telemetry.go
@@ -81,13 +81,13 @@
 	}
 	check := validator{}
 	result := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, SpoolDir: file.Spool.Dir,
-		Sampling: tailsampling.Limits{Bytes: check.count("sampling.bytes", file.Sampling.Bytes, defaultSamplingBytes, 1<<32),
-			Rate: float64(check.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
+		Sampling: tailsampling.Limits{MaxBytes: check.count("sampling.bytes", file.Sampling.Bytes, defaultSamplingBytes, 1<<32),
+			TracesPerSecond: float64(check.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
 		MetricInterval:  check.duration("metric_interval", file.Interval, defaultMetricInterval),
 		MaxWorkerSeries: int(check.count("regions", file.Regions, defaultMaxWorkerSeries, 1900)), MaxTenantSeries: int(check.count("tenants", file.Tenants, defaultMaxTenantSeries, 1900)),
 		SpoolMaxBytes: check.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolInterval: check.duration("spool.pace", file.Spool.Pace, defaultSpoolInterval)}
 	if file.Sampling.Slow != "" {
-		result.Sampling.Slow = check.duration("sampling.slow", file.Sampling.Slow, 0)
+		result.Sampling.SlowThreshold = check.duration("sampling.slow", file.Sampling.Slow, 0)
 	}
 	enabled := map[otlp.Signal]*bool{otlp.Traces: file.Traces, otlp.Metrics: file.Metrics, otlp.Logs: file.Logs}
 	for signal := otlp.Traces; signal <= otlp.Logs; signal++ {
@@ -156,13 +156,13 @@
 		} else {
 			endpoint.Timeout = check.duration("timeout", file.Timeout, defaultOTLPTimeout)
 		}
-		endpoint.CA, _ = lookup("CERTIFICATE", file.CA, "")
-		endpoint.Cert, _ = lookup("CLIENT_CERTIFICATE", file.Cert, "")
-		endpoint.Key, key = lookup("CLIENT_KEY", file.Key, "client_key")
-		if (endpoint.Cert == "") != (endpoint.Key == "") {
+		endpoint.CAFile, _ = lookup("CERTIFICATE", file.CA, "")
+		endpoint.CertFile, _ = lookup("CLIENT_CERTIFICATE", file.Cert, "")
+		endpoint.KeyFile, key = lookup("CLIENT_KEY", file.Key, "client_key")
+		if (endpoint.CertFile == "") != (endpoint.KeyFile == "") {
 			check.fail("%s: client certificate and key must be set together", key)
 		}
-		if _, err := endpoint.TLS(); err != nil {
+		if _, err := endpoint.TLSConfig(); err != nil {
 			check.fail("%s: %v", "certificate", err)
 		}
 		result.Endpoints[signal] = endpoint
--- a/internal/daemon/components.go
+++ b/internal/daemon/components.go
@@ -79,7 +79,7 @@
 	if inst.exporter, err = telemetry.New(inst.runCtx, inst.Telemetry, inst.Config.Name, localLog); err != nil || inst.exporter == nil {
 		return err
 	}
-	inst.Log = slog.New(inst.exporter.Handler(localLog.Handler()))
+	inst.Log = slog.New(inst.exporter.LogHandler(localLog.Handler()))
 	inst.onClose(func() {
 		inst.cancelRun() // the cores report nothing more
 		if err := inst.exporter.Close(); err != nil {
@@ -118,7 +118,7 @@
 		}
 	})
 	if inst.exporter != nil {
-		return inst.exporter.WatchFleet(inst.fleet.Figures)
+		return inst.exporter.RegisterFleetGauges(inst.fleet.Figures)
 	}
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -117,7 +117,7 @@
 	drained.Wait()
 	d.Log.Info("answered while draining", "classes", d.formatAnswersSince(answersBefore))
 	if inst.exporter != nil {
-		inst.exporter.Flush() // while the cores still run and can be read
+		inst.exporter.FlushMetrics() // while the cores still run and can be read
 	}
 	time.Sleep(cancelFlushTime)
 	return nil
@@ -172,11 +172,11 @@
 		options.Hook, options.Observers = hooks, append(options.Observers, hooks)
 	}
 	if exporter != nil {
-		options.Observers = append(options.Observers, exporter.Observe(name, d.Config.Settings))
+		options.Observers = append(options.Observers, exporter.NewObserver(name, d.Config.Settings))
 	}
 	core, err := dispatch.New(options)
 	if err == nil && exporter != nil {
-		err = exporter.Watch(name, core)
+		err = exporter.RegisterCoreGauges(name, core)
 	}
 	if err == nil {
 		d.cores = append(d.cores, core)
--- a/internal/otlp/retry.go
+++ b/internal/otlp/retry.go
@@ -1,6 +1,6 @@
-// Package otlp delivers batches of OpenTelemetry's protocol (OTLP 1.x, opentelemetry.io/docs/specs/otlp)
-// to a collector, over HTTP or gRPC. Batches come as the bytes of their Export requests; who makes
-// them is not this package's matter. It never makes its callers wait.
+// Package otlp sends batches of telemetry to an OpenTelemetry collector by OTLP 1.x
+// (opentelemetry.io/docs/specs/otlp), over HTTP or gRPC. The caller supplies each batch as an encoded
+// Export request. Queueing a batch never blocks the caller.
 package otlp
 
 import (
@@ -12,102 +12,103 @@
 	"google.golang.org/grpc/codes"
 )
 
-// Signal is a kind of telemetry.
+// Signal is a kind of telemetry data.
 type Signal byte
 
-// The signals.
+// The signals of OpenTelemetry.
 const (
 	Traces Signal = iota
 	Metrics
 	Logs
-	signals
+	signalCount
 )
 
 func (s Signal) String() string { return [...]string{"traces", "metrics", "logs"}[s] }
 
-// Action is what to do with a batch after an attempt.
+// Action is what to do with a batch after an attempt to send it.
 type Action uint8
 
 // The actions.
 const (
-	Accepted Action = iota
-	Retry           // later, the same batch
-	Drop            // it would be turned down again
+	Accepted Action = iota // nothing, the collector has the batch
+	Retry                  // send the same batch again later
+	Drop                   // discard the batch, which the collector would reject again
 )
 
-// Outcome is what came of an attempt.
+// Outcome is the result of an attempt to send a batch.
 type Outcome struct {
-	Do       Action
-	After    time.Duration // Retry: not before this, by the collector's word; 0 for none
-	Rejected int64         // Accepted: records that the collector did not take (partial success)
-	Why      string
+	Action          Action
+	RetryAfter      time.Duration // with Retry: the minimum delay that the collector asked for, or 0
+	RejectedRecords int64         // with Accepted: records that the collector rejected (partial success)
+	Reason          string        // the error or the collector's message
 }
 
-// maxAfter bounds what a collector may ask to wait: one that says a day must not silence a
-// process for a day.
-const maxAfter = 5 * time.Minute
+// maxRetryAfter limits the delay that a collector may ask for. Otherwise one that asks for a day would
+// stop a process's telemetry for a day.
+const maxRetryAfter = 5 * time.Minute
 
-// FromHTTP judges an answer by its status, as the protocol's page on failures says: 429, 502, 503
-// and 504 may be tried again, honouring Retry-After; no other may.
-func FromHTTP(status int, retryAfter string, now time.Time) Outcome {
+// OutcomeFromHTTP maps a response status to an outcome as the OTLP specification requires: 429, 502, 503
+// and 504 are retried after the delay in the Retry-After header, other failures are not retried.
+func OutcomeFromHTTP(status int, retryAfter string, now time.Time) Outcome {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return Outcome{Do: Retry, After: after(retryAfter, now), Why: "status " + strconv.Itoa(status)}
+		return Outcome{Action: Retry, RetryAfter: parseRetryAfter(retryAfter, now), Reason: "status " + strconv.Itoa(status)}
 	}
 	if status/100 == 2 {
 		return Outcome{}
 	}
-	return Outcome{Do: Drop, Why: "status " + strconv.Itoa(status)}
+	return Outcome{Action: Drop, Reason: "status " + strconv.Itoa(status)}
 }
 
-// after reads Retry-After, seconds or a date.
-func after(text string, now time.Time) time.Duration {
-	if n, err := strconv.ParseInt(text, 10, 32); err == nil && n >= 0 {
-		return min(maxAfter, time.Duration(n)*time.Second)
+// parseRetryAfter parses a Retry-After header, which holds seconds or a date. It returns 0 for an invalid
+// value.
+func parseRetryAfter(header string, now time.Time) time.Duration {
+	if seconds, err := strconv.ParseInt(header, 10, 32); err == nil && seconds >= 0 {
+		return min(maxRetryAfter, time.Duration(seconds)*time.Second)
 	}
-	if at, err := http.ParseTime(text); err == nil {
-		return min(maxAfter, max(0, at.Sub(now)))
+	if at, err := http.ParseTime(header); err == nil {
+		return min(maxRetryAfter, max(0, at.Sub(now)))
 	}
 	return 0
 }
 
-// FromGRPC judges a status code by the protocol's table. RESOURCE_EXHAUSTED may be tried again only
-// where the collector says when, by RetryInfo.
-func FromGRPC(code codes.Code, retryInfo time.Duration, hasInfo bool) Outcome {
-	why := code.String()
+// OutcomeFromGRPC maps a status code to an outcome by the table in the OTLP specification.
+// RESOURCE_EXHAUSTED is retried only if the collector sends a RetryInfo with the delay.
+func OutcomeFromGRPC(code codes.Code, retryDelay time.Duration, hasRetryInfo bool) Outcome {
+	reason := code.String()
 	switch code {
 	case codes.OK:
 		return Outcome{}
 	case codes.Canceled, codes.DeadlineExceeded, codes.Aborted, codes.OutOfRange, codes.Unavailable, codes.DataLoss:
-		return Outcome{Do: Retry, After: min(maxAfter, max(0, retryInfo)), Why: why}
+		return Outcome{Action: Retry, RetryAfter: min(maxRetryAfter, max(0, retryDelay)), Reason: reason}
 	case codes.ResourceExhausted:
-		if hasInfo {
-			return Outcome{Do: Retry, After: min(maxAfter, max(0, retryInfo)), Why: why}
+		if hasRetryInfo {
+			return Outcome{Action: Retry, RetryAfter: min(maxRetryAfter, max(0, retryDelay)), Reason: reason}
 		}
 	}
-	return Outcome{Do: Drop, Why: why}
+	return Outcome{Action: Drop, Reason: reason}
 }
 
-// Backoff spaces attempts: exponential, with jitter over the upper half, and never under what the
-// collector asked for.
+// Backoff computes exponential retry delays with jitter over the upper half of each delay. A delay is
+// never shorter than the collector asked for.
 type Backoff struct {
-	Base, Most time.Duration
-	Rand       *rand.Rand
-	tries      int
+	Initial, Max time.Duration
+	Rand         *rand.Rand
+	failures     int
 }
 
-// Next is how long to wait after one more failure.
-func (b *Backoff) Next(asked time.Duration) time.Duration {
-	d := b.Base
-	for range min(b.tries, 30) {
-		if d *= 2; d >= b.Most {
+// NextDelay records a failure and returns how long to wait before the next attempt, at least minimum.
+func (b *Backoff) NextDelay(minimum time.Duration) time.Duration {
+	delay := b.Initial
+	for range min(b.failures, 30) {
+		if delay *= 2; delay >= b.Max {
 			break
 		}
 	}
-	b.tries++
-	d = min(d, b.Most)
-	return max(asked, d/2+time.Duration(b.Rand.Int64N(int64(d/2)+1)))
+	b.failures++
+	delay = min(delay, b.Max)
+	return max(minimum, delay/2+time.Duration(b.Rand.Int64N(int64(delay/2)+1)))
 }
 
-// Reset begins anew after a success.
-func (b *Backoff) Reset() { b.tries = 0 }
+// Reset returns to the initial delay. It is called after a success.
+func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/otlp/transport.go
+++ b/internal/otlp/transport.go
@@ -26,212 +26,217 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Endpoint is where a signal goes.
+// Endpoint describes how to reach the collector for one signal.
 type Endpoint struct {
-	URL     string // whole, with its path; for gRPC its scheme and host count
-	GRPC    bool
-	Headers map[string]string
-	Timeout time.Duration
-	Gzip    bool
-	CA      string // files, empty for none
-	Cert    string
-	Key     string
+	URL      string // includes the path; gRPC uses only the scheme and the host
+	GRPC     bool   // false for HTTP
+	Headers  map[string]string
+	Timeout  time.Duration // of each attempt
+	Gzip     bool
+	CAFile   string // PEM file of trusted certificates; empty for the system's
+	CertFile string // PEM file of the client certificate; empty for none
+	KeyFile  string // PEM file of the client certificate's key
 }
 
-// Transport carries one batch.
+// Transport sends batches to a collector.
 type Transport interface {
 	Send(ctx context.Context, body []byte) Outcome
 	Close() error
 }
 
-// mostAnswer bounds what is read of a collector's answer.
-const mostAnswer = 64 << 10
+// maxResponseBytes is the size up to which a collector's response is read.
+const maxResponseBytes = 64 << 10
 
-// TLS reads the endpoint's files.
-func (e *Endpoint) TLS() (*tls.Config, error) {
-	c := &tls.Config{MinVersion: tls.VersionTLS12}
-	if e.CA != "" {
-		pem, err := os.ReadFile(e.CA)
+// TLSConfig returns a TLS configuration with the certificates in the endpoint's files.
+func (e *Endpoint) TLSConfig() (*tls.Config, error) {
+	config := &tls.Config{MinVersion: tls.VersionTLS12}
+	if e.CAFile != "" {
+		pem, err := os.ReadFile(e.CAFile)
 		if err != nil {
 			return nil, err
 		}
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, fmt.Errorf("%s: no certificate", e.CA)
+		config.RootCAs = x509.NewCertPool()
+		if !config.RootCAs.AppendCertsFromPEM(pem) {
+			return nil, fmt.Errorf("%s: contains no valid PEM certificate", e.CAFile)
 		}
 	}
-	if e.Cert != "" {
-		pair, err := tls.LoadX509KeyPair(e.Cert, e.Key)
+	if e.CertFile != "" {
+		certificate, err := tls.LoadX509KeyPair(e.CertFile, e.KeyFile)
 		if err != nil {
 			return nil, err
 		}
-		c.Certificates = []tls.Certificate{pair}
+		config.Certificates = []tls.Certificate{certificate}
 	}
-	return c, nil
+	return config, nil
 }
 
-// NewTransport returns a transport; it connects when it first sends.
-func NewTransport(s Signal, e Endpoint) (Transport, error) {
-	config, err := e.TLS()
+// NewTransport returns a Transport to the endpoint. It connects on the first Send.
+func NewTransport(signal Signal, endpoint Endpoint) (Transport, error) {
+	config, err := endpoint.TLSConfig()
 	if err != nil {
 		return nil, err
 	}
-	if e.GRPC {
-		return newGRPC(s, e, config)
+	if endpoint.GRPC {
+		return newGRPCTransport(signal, endpoint, config)
 	}
-	t := http.DefaultTransport.(*http.Transport).Clone()
-	t.TLSClientConfig, t.MaxIdleConns, t.MaxConnsPerHost, t.MaxResponseHeaderBytes = config, 1, 1, mostAnswer
-	return &overHTTP{e: e, signal: s, client: &http.Client{Transport: t, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // it would carry the headers' secrets elsewhere
-	}}, close: t.CloseIdleConnections}, nil
+	transport := http.DefaultTransport.(*http.Transport).Clone()
+	transport.TLSClientConfig, transport.MaxIdleConns, transport.MaxConnsPerHost, transport.MaxResponseHeaderBytes = config, 1, 1, maxResponseBytes
+	return &httpTransport{endpoint: endpoint, signal: signal, client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
+		return http.ErrUseLastResponse // a redirect would send the secrets in the headers to another host
+	}}, closeIdle: transport.CloseIdleConnections}, nil
 }
 
-type overHTTP struct {
-	e      Endpoint
-	signal Signal
-	client *http.Client
-	close  func()
+// httpTransport sends batches by HTTP POST.
+type httpTransport struct {
+	endpoint  Endpoint
+	signal    Signal
+	client    *http.Client
+	closeIdle func()
 }
 
-func (t *overHTTP) Close() error { t.close(); return nil }
+func (t *httpTransport) Close() error { t.closeIdle(); return nil }
 
-// Send posts a batch. A collector that could not be reached, or has not answered in time, may have
-// taken it: the protocol asks for a repeat all the same.
-func (t *overHTTP) Send(ctx context.Context, body []byte) Outcome {
-	ctx, stop := context.WithTimeout(ctx, t.e.Timeout)
-	defer stop()
-	if t.e.Gzip {
-		body = zip(body)
+// Send posts a batch. After a connection error or a timeout the collector may have received the batch.
+// The OTLP specification requires a retry even so.
+func (t *httpTransport) Send(ctx context.Context, body []byte) Outcome {
+	ctx, cancel := context.WithTimeout(ctx, t.endpoint.Timeout)
+	defer cancel()
+	if t.endpoint.Gzip {
+		body = compress(body)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.e.URL, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, t.endpoint.URL, bytes.NewReader(body))
 	if err != nil {
-		return Outcome{Do: Drop, Why: err.Error()}
+		return Outcome{Action: Drop, Reason: err.Error()}
 	}
-	r.Header.Set("Content-Type", "application/x-protobuf")
-	if t.e.Gzip {
-		r.Header.Set("Content-Encoding", "gzip")
+	request.Header.Set("Content-Type", "application/x-protobuf")
+	if t.endpoint.Gzip {
+		request.Header.Set("Content-Encoding", "gzip")
 	}
-	for k, v := range t.e.Headers {
-		r.Header.Set(k, v)
+	for name, value := range t.endpoint.Headers {
+		request.Header.Set(name, value)
 	}
-	a, err := t.client.Do(r)
+	response, err := t.client.Do(request)
 	if err != nil {
-		return Outcome{Do: Retry, Why: reason(err)}
+		return Outcome{Action: Retry, Reason: rootCause(err)}
 	}
-	defer func() { _ = a.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(a.Body, mostAnswer))
-	o := FromHTTP(a.StatusCode, a.Header.Get("Retry-After"), time.Now())
-	if o.Do != Accepted {
-		return o
+	defer func() { _ = response.Body.Close() }()
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	outcome := OutcomeFromHTTP(response.StatusCode, response.Header.Get("Retry-After"), time.Now())
+	if outcome.Action != Accepted {
+		return outcome
 	}
 	if err != nil {
-		return Outcome{Do: Retry, Why: "answer cut short"}
+		return Outcome{Action: Retry, Reason: "response body truncated"}
 	}
-	return partial(t.signal, answer)
+	return parsePartialSuccess(t.signal, responseBody)
 }
 
-// reason words an error without the address, so that repeated ones are alike.
-func reason(err error) string {
-	for u := errors.Unwrap(err); u != nil; u = errors.Unwrap(err) {
-		err = u
+// rootCause returns the text of the innermost error. Unlike the complete text it contains no address, so
+// repeated errors read the same.
+func rootCause(err error) string {
+	for cause := errors.Unwrap(err); cause != nil; cause = errors.Unwrap(err) {
+		err = cause
 	}
 	return err.Error()
 }
 
-func zip(body []byte) []byte {
-	var b bytes.Buffer
-	w := gzip.NewWriter(&b)
-	_, _ = w.Write(body) // a buffer takes every byte
-	_ = w.Close()
-	return b.Bytes()
+func compress(body []byte) []byte {
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	_, _ = writer.Write(body) // writing to a bytes.Buffer cannot fail
+	_ = writer.Close()
+	return compressed.Bytes()
 }
 
-// partial reads what the collector has not taken of a batch that it accepted.
-func partial(s Signal, answer []byte) (o Outcome) {
-	switch s {
+// parsePartialSuccess extracts from a successful response the number of records that the collector
+// rejected, and its message.
+func parsePartialSuccess(signal Signal, body []byte) (outcome Outcome) {
+	switch signal {
 	case Traces:
-		var r traces.ExportTraceServiceResponse
-		if proto.Unmarshal(answer, &r) == nil {
-			o.Rejected, o.Why = r.GetPartialSuccess().GetRejectedSpans(), r.GetPartialSuccess().GetErrorMessage()
+		var response traces.ExportTraceServiceResponse
+		if proto.Unmarshal(body, &response) == nil {
+			outcome.RejectedRecords, outcome.Reason = response.GetPartialSuccess().GetRejectedSpans(), response.GetPartialSuccess().GetErrorMessage()
 		}
 	case Metrics:
-		var r metrics.ExportMetricsServiceResponse
-		if proto.Unmarshal(answer, &r) == nil {
-			o.Rejected, o.Why = r.GetPartialSuccess().GetRejectedDataPoints(), r.GetPartialSuccess().GetErrorMessage()
+		var response metrics.ExportMetricsServiceResponse
+		if proto.Unmarshal(body, &response) == nil {
+			outcome.RejectedRecords, outcome.Reason = response.GetPartialSuccess().GetRejectedDataPoints(), response.GetPartialSuccess().GetErrorMessage()
 		}
 	case Logs:
-		var r logs.ExportLogsServiceResponse
-		if proto.Unmarshal(answer, &r) == nil {
-			o.Rejected, o.Why = r.GetPartialSuccess().GetRejectedLogRecords(), r.GetPartialSuccess().GetErrorMessage()
+		var response logs.ExportLogsServiceResponse
+		if proto.Unmarshal(body, &response) == nil {
+			outcome.RejectedRecords, outcome.Reason = response.GetPartialSuccess().GetRejectedLogRecords(), response.GetPartialSuccess().GetErrorMessage()
 		}
 	}
-	return o
+	return outcome
 }
 
-// raw hands bytes through gRPC as they are: batches are encoded already.
-type raw struct{}
+// rawCodec is a gRPC codec that passes bytes unchanged, because batches are already encoded.
+type rawCodec struct{}
 
-func (raw) Name() string { return "proto" }
-func (raw) Marshal(v any) ([]byte, error) {
+func (rawCodec) Name() string { return "proto" }
+func (rawCodec) Marshal(v any) ([]byte, error) {
 	b, ok := v.(*[]byte)
 	if !ok {
-		return nil, fmt.Errorf("otlp: %T", v)
+		return nil, fmt.Errorf("otlp: cannot marshal a %T, want *[]byte", v)
 	}
 	return *b, nil
 }
-func (raw) Unmarshal(data []byte, v any) error {
+func (rawCodec) Unmarshal(data []byte, v any) error {
 	*v.(*[]byte) = bytes.Clone(data)
 	return nil
 }
 
-type overGRPC struct {
-	e      Endpoint
-	signal Signal
-	conn   *grpc.ClientConn
-	method string
+// grpcTransport sends batches by calls of a collector's Export method.
+type grpcTransport struct {
+	endpoint Endpoint
+	signal   Signal
+	conn     *grpc.ClientConn
+	method   string
 }
 
-var methods = [signals]string{"/opentelemetry.proto.collector.trace.v1.TraceService/Export",
+// exportMethods holds the gRPC method of each signal.
+var exportMethods = [signalCount]string{"/opentelemetry.proto.collector.trace.v1.TraceService/Export",
 	"/opentelemetry.proto.collector.metrics.v1.MetricsService/Export", "/opentelemetry.proto.collector.logs.v1.LogsService/Export"}
 
-func newGRPC(s Signal, e Endpoint, config *tls.Config) (Transport, error) {
-	u, secure, err := target(e.URL)
+func newGRPCTransport(signal Signal, endpoint Endpoint, config *tls.Config) (Transport, error) {
+	target, secure, err := grpcTarget(endpoint.URL)
 	if err != nil {
 		return nil, err
 	}
-	creds := insecure.NewCredentials()
+	transportCredentials := insecure.NewCredentials()
 	if secure {
-		creds = credentials.NewTLS(config)
+		transportCredentials = credentials.NewTLS(config)
 	}
-	call := []grpc.CallOption{grpc.ForceCodec(raw{}), grpc.MaxCallRecvMsgSize(mostAnswer)}
-	if e.Gzip {
-		call = append(call, grpc.UseCompressor("gzip"))
+	callOptions := []grpc.CallOption{grpc.ForceCodec(rawCodec{}), grpc.MaxCallRecvMsgSize(maxResponseBytes)}
+	if endpoint.Gzip {
+		callOptions = append(callOptions, grpc.UseCompressor("gzip"))
 	}
-	conn, err := grpc.NewClient(u, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(call...), grpc.WithDisableRetry(),
+	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(transportCredentials), grpc.WithDefaultCallOptions(callOptions...), grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(), grpc.WithNoProxy())
-	return &overGRPC{e: e, signal: s, conn: conn, method: methods[s]}, err
+	return &grpcTransport{endpoint: endpoint, signal: signal, conn: conn, method: exportMethods[signal]}, err
 }
 
-func (t *overGRPC) Close() error { return t.conn.Close() }
-
-func (t *overGRPC) Send(ctx context.Context, body []byte) Outcome {
-	ctx, stop := context.WithTimeout(ctx, t.e.Timeout)
-	defer stop()
-	for k, v := range t.e.Headers {
-		ctx = metadata.AppendToOutgoingContext(ctx, k, v)
-	}
-	var answer []byte
-	err := t.conn.Invoke(ctx, t.method, &body, &answer)
-	st := status.Convert(err)
-	var wait time.Duration
-	info := false
-	for _, d := range st.Details() {
-		if r, ok := d.(*errdetails.RetryInfo); ok {
-			wait, info = r.GetRetryDelay().AsDuration(), true
+func (t *grpcTransport) Close() error { return t.conn.Close() }
+
+func (t *grpcTransport) Send(ctx context.Context, body []byte) Outcome {
+	ctx, cancel := context.WithTimeout(ctx, t.endpoint.Timeout)
+	defer cancel()
+	for name, value := range t.endpoint.Headers {
+		ctx = metadata.AppendToOutgoingContext(ctx, name, value)
+	}
+	var responseBody []byte
+	err := t.conn.Invoke(ctx, t.method, &body, &responseBody)
+	callStatus := status.Convert(err)
+	var retryDelay time.Duration
+	hasRetryInfo := false
+	for _, detail := range callStatus.Details() {
+		if retryInfo, ok := detail.(*errdetails.RetryInfo); ok {
+			retryDelay, hasRetryInfo = retryInfo.GetRetryDelay().AsDuration(), true
 		}
 	}
-	if o := FromGRPC(st.Code(), wait, info); o.Do != Accepted {
-		return o
+	if outcome := OutcomeFromGRPC(callStatus.Code(), retryDelay, hasRetryInfo); outcome.Action != Accepted {
+		return outcome
 	}
-	return partial(t.signal, answer)
+	return parsePartialSuccess(t.signal, responseBody)
 }
--- a/internal/tailsampling/tailsampling.go
+++ b/internal/tailsampling/tailsampling.go
@@ -1,115 +1,115 @@
-// Package tailsampling decides which traces are kept. The decision falls at a trace's end, when it is
-// known whether the request failed or was slow, and within a budget of memory. It does no I/O and
-// knows no clock but the one it is handed; it is not safe for concurrent use.
+// Package tailsampling decides which traces to export. It decides when a trace ends, because only then
+// is it known whether the request failed or was slow. It also enforces a memory limit. The package does
+// no I/O, reads no clock of its own and is not safe for concurrent use.
 package tailsampling
 
 import "time"
 
-// Limits of what is kept.
+// Limits are the limits of a Sampler. An ordinary trace is one that did not fail and was not refused,
+// late, repeated or slow.
 type Limits struct {
-	Bytes int64         // of records and batches at once
-	Rate  float64       // ordinary traces kept a second
-	Slow  time.Duration // a request that took this long is kept always; 0 for none
+	MaxBytes        int64         // memory for records; as configured, also for the batches to be sent
+	TracesPerSecond float64       // ordinary traces kept per second
+	SlowThreshold   time.Duration // a request that took at least this long is slow; 0 for none
 }
 
-// Trace is what a decision hangs on.
-type Trace struct {
+// TraceSummary holds the properties of a finished trace on which the decision depends.
+type TraceSummary struct {
 	Bytes    int64
-	Failed   bool // failed, or its client left
+	Failed   bool // the request failed, or its client disconnected
 	Refused  bool
-	Late     bool // after the class's aim
-	Repeated bool // more than one task was sent
-	Took     time.Duration
+	Late     bool // the answer came after the class's target time
+	Repeated bool // more than one attempt was sent
+	Duration time.Duration
 }
 
-// Reason is why a trace is kept or dropped.
+// Reason is why a trace was kept or dropped.
 type Reason string
 
-// The reasons. Budget and Pressure count what the memory's bound has cost: at Budget nothing more
-// fits, under Pressure only ordinary traces are dropped.
+// The reasons. OutOfMemory and MemoryPressure count what was lost to the memory limit: under
+// MemoryPressure only ordinary traces are dropped, at OutOfMemory no request is recorded.
 const (
-	Failed   Reason = "failed"
-	Refused  Reason = "refused"
-	Late     Reason = "late"
-	Repeated Reason = "repeated"
-	Slow     Reason = "slow"
-	Share    Reason = "share"    // an ordinary one within the rate
-	Over     Reason = "rate"     // an ordinary one beyond it
-	Pressure Reason = "pressure" // an ordinary one while memory is short
-	Budget   Reason = "budget"   // any, while there is no memory
+	Failed         Reason = "failed"
+	Refused        Reason = "refused"
+	Late           Reason = "late"
+	Repeated       Reason = "repeated"
+	Slow           Reason = "slow"
+	WithinRate     Reason = "share"    // ordinary, kept within the rate limit
+	OverRate       Reason = "rate"     // ordinary, dropped above the rate limit
+	MemoryPressure Reason = "pressure" // ordinary, dropped because memory is short
+	OutOfMemory    Reason = "budget"   // any request, not recorded because no memory is left
 )
 
-// pressure is the share of the budget from which on ordinary traces are dropped, so that those
-// that tell of trouble find room.
-const pressure = 0.75
+// memoryPressureShare is the share of the memory limit above which ordinary traces are dropped. The rest
+// is for traces that indicate a problem.
+const memoryPressureShare = 0.75
 
-// Sampler decides by its limits.
+// Sampler decides which traces to keep. It limits the rate of ordinary traces by a token bucket.
 type Sampler struct {
 	Limits
-	used   int64
-	credit float64
-	at     time.Duration
-	counts map[Reason]int64
+	usedBytes  int64
+	tokens     float64
+	refilledAt time.Duration
+	counts     map[Reason]int64
 }
 
-// New returns a sampler that may keep one second's share at once.
-func New(l Limits) *Sampler {
-	return &Sampler{Limits: l, credit: l.Rate, counts: map[Reason]int64{}}
+// New returns a Sampler. Its token bucket starts with the tokens of one second.
+func New(limits Limits) *Sampler {
+	return &Sampler{Limits: limits, tokens: limits.TracesPerSecond, counts: map[Reason]int64{}}
 }
 
-// Reserve takes memory for something that is not to be dropped for a reason of its own, and tells
-// whether there was any.
+// Reserve reserves n bytes of memory. It returns false and counts OutOfMemory if they would exceed the
+// limit.
 func (s *Sampler) Reserve(n int64) bool {
-	if s.used+n > s.Bytes {
-		s.counts[Budget]++
+	if s.usedBytes+n > s.MaxBytes {
+		s.counts[OutOfMemory]++
 		return false
 	}
-	s.used += n
+	s.usedBytes += n
 	return true
 }
 
-// Release gives memory back.
-func (s *Sampler) Release(n int64) { s.used = max(0, s.used-n) }
+// Release returns n reserved bytes. A negative n reserves bytes regardless of the limit.
+func (s *Sampler) Release(n int64) { s.usedBytes = max(0, s.usedBytes-n) }
 
-// Used is how much memory is taken.
-func (s *Sampler) Used() int64 { return s.used }
+// UsedBytes returns the number of reserved bytes.
+func (s *Sampler) UsedBytes() int64 { return s.usedBytes }
 
-// Decide tells whether a trace that has ended is kept, and why. The memory of one that is dropped
-// is the caller's to release.
-func (s *Sampler) Decide(now time.Duration, t Trace) (keep bool, why Reason) {
-	defer func() { s.counts[why]++ }()
-	if now > s.at {
-		s.credit = min(max(1, s.Rate), s.credit+s.Rate*(now-s.at).Seconds())
-		s.at = now
+// Decide reports whether to keep a finished trace, and why. It does not release the trace's memory.
+func (s *Sampler) Decide(now time.Duration, trace TraceSummary) (keep bool, reason Reason) {
+	defer func() { s.counts[reason]++ }()
+	if now > s.refilledAt {
+		s.tokens = min(max(1, s.TracesPerSecond), s.tokens+s.TracesPerSecond*(now-s.refilledAt).Seconds())
+		s.refilledAt = now
 	}
 	switch {
-	case t.Failed:
+	case trace.Failed:
 		return true, Failed
-	case t.Refused:
+	case trace.Refused:
 		return true, Refused
-	case t.Late:
+	case trace.Late:
 		return true, Late
-	case t.Repeated:
+	case trace.Repeated:
 		return true, Repeated
-	case s.Slow > 0 && t.Took >= s.Slow:
+	case s.SlowThreshold > 0 && trace.Duration >= s.SlowThreshold:
 		return true, Slow
-	case float64(s.used) > pressure*float64(s.Bytes):
-		return false, Pressure
-	case s.credit < 1:
-		return false, Over
+	case float64(s.usedBytes) > memoryPressureShare*float64(s.MaxBytes):
+		return false, MemoryPressure
+	case s.tokens < 1:
+		return false, OverRate
 	}
-	s.credit--
-	return true, Share
+	s.tokens--
+	return true, WithinRate
 }
 
-// Count notes something that was dropped elsewhere.
-func (s *Sampler) Count(why Reason, n int64) { s.counts[why] += n }
+// AddCount adds n to a reason's count, for traces that were dropped elsewhere.
+func (s *Sampler) AddCount(reason Reason, n int64) { s.counts[reason] += n }
 
-// Counts returns how often each reason was given.
+// Counts returns the number of traces by reason.
 func (s *Sampler) Counts() map[Reason]int64 {
-	m := make(map[Reason]int64, len(s.counts))
-	for k, v := range s.counts {
-		m[k] = v
+	counts := make(map[Reason]int64, len(s.counts))
+	for reason, count := range s.counts {
+		counts[reason] = count
 	}
-	return m
+	return counts
 }
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -20,301 +20,310 @@
 
 var background = context.Background()
 
-// ids gives spans the ids that were chosen when what they tell of began: a region has been told of
-// them.
-type ids struct{}
+// presetIDGenerator takes a span's IDs from the context. They are chosen when the request or the attempt
+// starts, because they are sent to the worker, but the span itself is created only afterwards.
+type presetIDGenerator struct{}
 
-type idKey struct{}
+// spanContextKey is the context key of the preset IDs.
+type spanContextKey struct{}
 
-func (ids) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	c, _ := ctx.Value(idKey{}).(trace.SpanContext)
-	if !c.IsValid() {
-		c = newIDs(trace.SpanContext{})
+func (presetIDGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+	spanContext, _ := ctx.Value(spanContextKey{}).(trace.SpanContext)
+	if !spanContext.IsValid() {
+		spanContext = newSpanContext(trace.SpanContext{})
 	}
-	return c.TraceID(), c.SpanID()
+	return spanContext.TraceID(), spanContext.SpanID()
 }
 
-func (i ids) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
-	_, id := i.NewIDs(ctx)
+func (g presetIDGenerator) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
+	_, id := g.NewIDs(ctx)
 	return id
 }
 
-// batcher collects spans that have ended. It is used by the worker alone.
-type batcher struct {
+// spanCollector is a span processor that collects ended spans. Only the processing goroutine uses it.
+type spanCollector struct {
 	spans []sdktrace.ReadOnlySpan
 }
 
-func (*batcher) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
-func (b *batcher) OnEnd(s sdktrace.ReadOnlySpan)                 { b.spans = append(b.spans, s) }
-func (*batcher) Shutdown(context.Context) error                  { return nil }
-func (*batcher) ForceFlush(context.Context) error                { return nil }
+func (*spanCollector) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (c *spanCollector) OnEnd(s sdktrace.ReadOnlySpan)                 { c.spans = append(c.spans, s) }
+func (*spanCollector) Shutdown(context.Context) error                  { return nil }
+func (*spanCollector) ForceFlush(context.Context) error                { return nil }
 
-// start makes a span of its own ids under a parent.
-func (t *Telemetry) start(parent context.Context, c trace.SpanContext, name string, from time.Time, o ...trace.SpanStartOption) (context.Context, trace.Span) {
-	return t.tracer.Start(context.WithValue(parent, idKey{}, c), name, append(o, trace.WithTimestamp(from))...)
+// startSpan starts a span with the IDs in spanContext, as a child of the span in the context parent.
+func (t *Telemetry) startSpan(parent context.Context, spanContext trace.SpanContext, name string, start time.Time,
+	options ...trace.SpanStartOption) (context.Context, trace.Span) {
+	return t.tracer.Start(context.WithValue(parent, spanContextKey{}, spanContext), name, append(options, trace.WithTimestamp(start))...)
 }
 
-func ms(d time.Duration) float64 { return math.Round(d.Seconds()*1e6) / 1e3 }
+// milliseconds returns a duration in milliseconds, rounded to microseconds.
+func milliseconds(d time.Duration) float64 { return math.Round(d.Seconds()*1e6) / 1e3 }
 
-// spans writes a kept record as spans: the request, its phases, its tasks and theirs.
-func (t *Telemetry) spans(o *Observer, r *record, why string) {
-	class := &o.settings.Classes[r.class]
+// emitSpans creates the spans of a kept trace: the request, its phases, its attempts and their phases.
+func (t *Telemetry) emitSpans(observer *Observer, record *requestRecord, keepReason string) {
+	class := &observer.settings.Classes[record.class]
 	parent := background
-	if r.trace != "" {
-		parent = trace.ContextWithRemoteSpanContext(parent, remote(r.trace, r.state))
+	if record.traceParent != "" {
+		parent = trace.ContextWithRemoteSpanContext(parent, parseTraceParent(record.traceParent, record.traceState))
 	}
-	ctx, root := t.start(parent, r.ids, "request "+class.Name, r.asked, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
-		attribute.String("tinroute.front", o.front), attribute.String("tinroute.class", class.Name), attribute.String("tinroute.request.id", r.id),
-		attribute.String("tinroute.tenant", o.tenant(r.tenant)), attribute.String("tinroute.verdict", r.verdict()),
-		attribute.Int("tinroute.attempts", len(r.tasks)), attribute.Bool("tinroute.late", r.late(class)),
-		attribute.Float64("tinroute.aim_ms", ms(class.Target)), attribute.String("tinroute.kept", why), attribute.Bool("tinroute.answer.written", r.whole)))
-	if r.answer.Reason != "" {
-		root.SetAttributes(attribute.String("tinroute.reason", r.answer.Reason))
+	ctx, root := t.startSpan(parent, record.spanContext, "request "+class.Name, record.submittedAt, trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
+		attribute.String("tinroute.front", observer.server), attribute.String("tinroute.class", class.Name), attribute.String("tinroute.request.id", record.id),
+		attribute.String("tinroute.tenant", observer.tenantName(record.tenant)), attribute.String("tinroute.verdict", record.verdict()),
+		attribute.Int("tinroute.attempts", len(record.attempts)), attribute.Bool("tinroute.late", record.isLate(class)),
+		attribute.Float64("tinroute.aim_ms", milliseconds(class.Target)), attribute.String("tinroute.kept", keepReason),
+		attribute.Bool("tinroute.answer.written", record.fullyWritten)))
+	if record.answer.Reason != "" {
+		root.SetAttributes(attribute.String("tinroute.reason", record.answer.Reason))
 	}
-	if r.answer.RetryAfter > 0 {
-		root.SetAttributes(attribute.Float64("tinroute.retry_after_s", r.answer.RetryAfter.Seconds()))
+	if record.answer.RetryAfter > 0 {
+		root.SetAttributes(attribute.Float64("tinroute.retry_after_s", record.answer.RetryAfter.Seconds()))
 	}
-	if v := r.verdict(); v != dispatch.Served.String() {
-		root.SetStatus(codes.Error, r.answer.Reason)
-		root.SetAttributes(attribute.String("error.type", v))
+	if verdict := record.verdict(); verdict != dispatch.Served.String() {
+		root.SetStatus(codes.Error, record.answer.Reason)
+		root.SetAttributes(attribute.String("error.type", verdict))
 	}
-	for _, p := range r.phases() {
-		if p.name != "task" { // the tasks' spans are those
-			t.phase(ctx, p)
+	for _, p := range record.phases() {
+		if p.name != "task" { // the attempts have spans of their own
+			t.emitPhase(ctx, p)
 		}
 	}
-	for _, k := range r.tasks {
-		t.task(ctx, o, r, k)
+	for _, attempt := range record.attempts {
+		t.emitAttempt(ctx, observer, record, attempt)
 	}
-	root.End(trace.WithTimestamp(r.end()))
+	root.End(trace.WithTimestamp(record.endTime()))
 }
 
-func (t *Telemetry) phase(ctx context.Context, p phase) {
-	_, s := t.start(ctx, newIDs(trace.SpanContext{}), p.name, p.from, trace.WithSpanKind(trace.SpanKindInternal),
+func (t *Telemetry) emitPhase(ctx context.Context, p phase) {
+	_, span := t.startSpan(ctx, newSpanContext(trace.SpanContext{}), p.name, p.start, trace.WithSpanKind(trace.SpanKindInternal),
 		trace.WithAttributes(attribute.String("tinroute.phase", p.name)))
-	s.End(trace.WithTimestamp(p.to))
+	span.End(trace.WithTimestamp(p.end))
 }
 
-func (t *Telemetry) task(ctx context.Context, o *Observer, r *record, k *taskRecord) {
-	a := []attribute.KeyValue{attribute.Int("tinroute.attempt", k.no), attribute.String("tinroute.region", k.region),
-		attribute.Int("tinroute.zone", k.zone), attribute.Int("tinroute.kind", k.kind), attribute.String("tinroute.status", k.status.String()),
-		attribute.Bool("tinroute.copy", k.copyOf >= 0), attribute.Bool("tinroute.retry", k.retryOf >= 0)}
+func (t *Telemetry) emitAttempt(ctx context.Context, observer *Observer, record *requestRecord, attempt *attemptRecord) {
+	attributes := []attribute.KeyValue{attribute.Int("tinroute.attempt", attempt.index), attribute.String("tinroute.region", attempt.worker),
+		attribute.Int("tinroute.zone", attempt.zone), attribute.Int("tinroute.kind", attempt.kind), attribute.String("tinroute.status", attempt.status.String()),
+		attribute.Bool("tinroute.copy", attempt.copyOf >= 0), attribute.Bool("tinroute.retry", attempt.retryOf >= 0)}
 	options := []trace.SpanStartOption{trace.WithSpanKind(trace.SpanKindClient)}
-	if of := max(k.copyOf, k.retryOf); of >= 0 {
-		a = append(a, attribute.String("tinroute.why", k.why))
-		options = append(options, trace.WithLinks(trace.Link{SpanContext: r.tasks[of].ids,
-			Attributes: []attribute.KeyValue{attribute.String("tinroute.link", map[bool]string{true: "copy_of", false: "retry_of"}[k.copyOf >= 0])}}))
+	if linked := max(attempt.copyOf, attempt.retryOf); linked >= 0 {
+		attributes = append(attributes, attribute.String("tinroute.why", attempt.resendReason))
+		options = append(options, trace.WithLinks(trace.Link{SpanContext: record.attempts[linked].spanContext,
+			Attributes: []attribute.KeyValue{attribute.String("tinroute.link", map[bool]string{true: "copy_of", false: "retry_of"}[attempt.copyOf >= 0])}}))
 	}
-	ctx, s := t.start(ctx, k.ids, "task "+k.region, k.sent, append(options, trace.WithAttributes(a...))...)
-	if k.status != balance.StatusOK && k.status != balance.StatusCancelled {
-		s.SetStatus(codes.Error, k.status.String())
-		s.SetAttributes(attribute.String("error.type", k.status.String()))
+	ctx, span := t.startSpan(ctx, attempt.spanContext, "task "+attempt.worker, attempt.sentAt, append(options, trace.WithAttributes(attributes...))...)
+	if attempt.status != balance.StatusOK && attempt.status != balance.StatusCancelled {
+		span.SetStatus(codes.Error, attempt.status.String())
+		span.SetAttributes(attribute.String("error.type", attempt.status.String()))
 	}
-	for _, p := range k.phases() {
-		t.phase(ctx, p)
+	for _, p := range attempt.phases() {
+		t.emitPhase(ctx, p)
 	}
-	s.End(trace.WithTimestamp(k.ended))
+	span.End(trace.WithTimestamp(attempt.endedAt))
 }
 
-func (o *Observer) tenant(n int) string {
+func (o *Observer) tenantName(n int) string {
 	if n < 0 || n >= len(o.settings.Tenants) {
 		return ""
 	}
 	return o.settings.Tenants[n].Name
 }
 
-// names tells apart so many names; others fall together.
-type names struct {
-	most int
-	seen map[string]bool
+// boundedNames limits the number of distinct names in metrics. It replaces all others by "other".
+type boundedNames struct {
+	limit int
+	seen  map[string]bool
 }
 
-func (n *names) of(name string) string {
+func (n *boundedNames) bounded(name string) string {
 	if n.seen[name] {
 		return name
 	}
-	if len(n.seen) >= n.most {
+	if len(n.seen) >= n.limit {
 		return "other"
 	}
 	n.seen[name] = true
 	return name
 }
 
-// figures are the instruments that the worker records to.
-type figures struct {
-	duration, phases                                          metric.Float64Histogram
-	answers, tasks, copies, repeats, refusals, cancel, drains metric.Int64Counter
+// instruments are the metrics of requests and attempts.
+type instruments struct {
+	requestDuration, phaseDuration                                metric.Float64Histogram
+	answers, attempts, copies, retries, refusals, cancels, drains metric.Int64Counter
 }
 
-func (t *Telemetry) instruments(m metric.Meter) (err error) {
-	note := func(e error) {
+func (t *Telemetry) createInstruments(meter metric.Meter) (err error) {
+	keepFirst := func(e error) {
 		if err == nil {
 			err = e
 		}
 	}
-	hist := func(name, about string) metric.Float64Histogram {
-		h, e := m.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(about))
-		note(e)
+	histogram := func(name, description string) metric.Float64Histogram {
+		h, e := meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(description))
+		keepFirst(e)
 		return h
 	}
-	count := func(name, unit, about string) metric.Int64Counter {
-		c, e := m.Int64Counter(name, metric.WithUnit(unit), metric.WithDescription(about))
-		note(e)
+	counter := func(name, unit, description string) metric.Int64Counter {
+		c, e := meter.Int64Counter(name, metric.WithUnit(unit), metric.WithDescription(description))
+		keepFirst(e)
 		return c
 	}
-	t.figures = figures{duration: hist("tinroute.request.duration", "from a request's coming to its answer's last byte"),
-		phases:   hist("tinroute.phase.duration", "time in one phase of a request or of a routed task"),
-		answers:  count("tinroute.answers", "{request}", "final answers, and clients that left"),
-		tasks:    count("tinroute.tasks", "{task}", "routed tasks that ended, by status"),
-		copies:   count("tinroute.copies", "{task}", "routed tasks sent while another was out"),
-		repeats:  count("tinroute.repeats", "{task}", "routed tasks sent after another had ended without a result"),
-		refusals: count("tinroute.refusals", "{request}", "requests refused, by reason"),
-		drains:   count("tinroute.drains", "{region}", "regions told to drain or gone, from when on nothing new is sent there"),
-		cancel:   count("tinroute.cancels", "{task}", "routed tasks given up")}
+	t.instruments = instruments{requestDuration: histogram("tinroute.request.duration", "from a request's coming to its answer's last byte"),
+		phaseDuration: histogram("tinroute.phase.duration", "time in one phase of a request or of a routed task"),
+		answers:       counter("tinroute.answers", "{request}", "final answers, and clients that left"),
+		attempts:      counter("tinroute.tasks", "{task}", "routed tasks that ended, by status"),
+		copies:        counter("tinroute.copies", "{task}", "routed tasks sent while another was out"),
+		retries:       counter("tinroute.repeats", "{task}", "routed tasks sent after another had ended without a result"),
+		refusals:      counter("tinroute.refusals", "{request}", "requests refused, by reason"),
+		drains:        counter("tinroute.drains", "{region}", "regions told to drain or gone, from when on nothing new is sent there"),
+		cancels:       counter("tinroute.cancels", "{task}", "routed tasks given up")}
 	return err
 }
 
-// with returns a measurement's attributes. Sets are made once for each combination, of which there
-// are few: names are bounded before they come here.
-func (t *Telemetry) with(pairs ...string) metric.MeasurementOption {
+// attributes returns a measurement option with the attributes in pairs of key and value. Options are
+// cached. There are few combinations, because the callers limit the number of names.
+func (t *Telemetry) attributes(pairs ...string) metric.MeasurementOption {
 	key := strings.Join(pairs, "\x00")
-	if o, ok := t.sets[key]; ok {
-		return o
+	if option, ok := t.attributeSets[key]; ok {
+		return option
 	}
-	a := make([]attribute.KeyValue, 0, len(pairs)/2)
+	attributes := make([]attribute.KeyValue, 0, len(pairs)/2)
 	for i := 0; i < len(pairs); i += 2 {
-		a = append(a, attribute.String(pairs[i], pairs[i+1]))
+		attributes = append(attributes, attribute.String(pairs[i], pairs[i+1]))
 	}
-	o := metric.WithAttributeSet(attribute.NewSet(a...))
-	if len(t.sets) < mostSets {
-		t.sets[key] = o
+	option := metric.WithAttributeSet(attribute.NewSet(attributes...))
+	if len(t.attributeSets) < maxAttributeSets {
+		t.attributeSets[key] = option
 	}
-	return o
+	return option
 }
 
-const mostSets = 10_000
+// maxAttributeSets limits the cache of attribute sets.
+const maxAttributeSets = 10_000
 
-// measure records a request's figures. ctx carries its span if it is kept, so that exemplars name it.
-func (t *Telemetry) measure(ctx context.Context, o *Observer, r *record) {
-	class, front, verdict := o.settings.Classes[r.class].Name, o.front, r.verdict()
-	t.duration.Record(ctx, r.end().Sub(r.asked).Seconds(), t.with("front", front, "class", class, "verdict", verdict))
-	t.answers.Add(ctx, 1, t.with("front", front, "class", class, "verdict", verdict, "tenant", t.tenants.of(o.tenant(r.tenant))))
-	if r.answer.Verdict == dispatch.Refused && !r.left {
-		t.refusals.Add(ctx, 1, t.with("front", front, "class", class, "reason", t.reasons.of(r.answer.Reason)))
+// recordMetrics records the metrics of a request. If its trace is kept, ctx contains its span, to which
+// exemplars then refer.
+func (t *Telemetry) recordMetrics(ctx context.Context, observer *Observer, record *requestRecord) {
+	class, server, verdict := observer.settings.Classes[record.class].Name, observer.server, record.verdict()
+	t.requestDuration.Record(ctx, record.endTime().Sub(record.submittedAt).Seconds(), t.attributes("front", server, "class", class, "verdict", verdict))
+	t.answers.Add(ctx, 1, t.attributes("front", server, "class", class, "verdict", verdict, "tenant", t.tenantNames.bounded(observer.tenantName(record.tenant))))
+	if record.answer.Verdict == dispatch.Refused && !record.clientLeft {
+		t.refusals.Add(ctx, 1, t.attributes("front", server, "class", class, "reason", t.reasonNames.bounded(record.answer.Reason)))
 	}
-	for _, p := range r.phases() {
+	for _, p := range record.phases() {
 		if p.name != "task" {
-			t.phases.Record(ctx, p.to.Sub(p.from).Seconds(), t.with("front", front, "class", class, "phase", p.name))
+			t.phaseDuration.Record(ctx, p.end.Sub(p.start).Seconds(), t.attributes("front", server, "class", class, "phase", p.name))
 		}
 	}
-	for _, k := range r.tasks {
-		t.tasks.Add(ctx, 1, t.with("front", front, "region", t.regions.of(k.region), "status", k.status.String()))
+	for _, attempt := range record.attempts {
+		t.attempts.Add(ctx, 1, t.attributes("front", server, "region", t.workerNames.bounded(attempt.worker), "status", attempt.status.String()))
 		switch {
-		case k.copyOf >= 0:
-			t.copies.Add(ctx, 1, t.with("front", front, "class", class))
-		case k.retryOf >= 0:
-			t.repeats.Add(ctx, 1, t.with("front", front, "class", class, "why", k.why))
+		case attempt.copyOf >= 0:
+			t.copies.Add(ctx, 1, t.attributes("front", server, "class", class))
+		case attempt.retryOf >= 0:
+			t.retries.Add(ctx, 1, t.attributes("front", server, "class", class, "why", attempt.resendReason))
 		}
-		if !k.withdrawn.IsZero() {
-			t.cancel.Add(ctx, 1, t.with("front", front, "class", class))
+		if !attempt.cancelledAt.IsZero() {
+			t.cancels.Add(ctx, 1, t.attributes("front", server, "class", class))
 		}
-		for _, p := range k.phases() {
-			t.phases.Record(ctx, p.to.Sub(p.from).Seconds(), t.with("front", front, "class", class, "phase", p.name))
+		for _, p := range attempt.phases() {
+			t.phaseDuration.Record(ctx, p.end.Sub(p.start).Seconds(), t.attributes("front", server, "class", class, "phase", p.name))
 		}
 	}
 }
 
-// bareAnswer records the little that is known of a request for whose record there was no memory.
-func (t *Telemetry) bareAnswer(b bare) {
-	class := attribute.String("class", b.o.settings.Classes[b.class].Name)
-	front := attribute.String("front", b.o.front)
-	verdict := b.answer.Verdict.String()
-	if b.left {
+// recordMinimalMetrics records the metrics of a request for whose full record no memory was left.
+func (t *Telemetry) recordMinimalMetrics(record minimalRecord) {
+	class := attribute.String("class", record.observer.settings.Classes[record.class].Name)
+	server := attribute.String("front", record.observer.server)
+	verdict := record.answer.Verdict.String()
+	if record.clientLeft {
 		verdict = "left"
 	}
-	t.duration.Record(background, b.took.Seconds(), metric.WithAttributes(front, class, attribute.String("verdict", verdict)))
-	t.answers.Add(background, 1, metric.WithAttributes(front, class, attribute.String("verdict", verdict), attribute.String("tenant", "")))
+	t.requestDuration.Record(background, record.duration.Seconds(), metric.WithAttributes(server, class, attribute.String("verdict", verdict)))
+	t.answers.Add(background, 1, metric.WithAttributes(server, class, attribute.String("verdict", verdict), attribute.String("tenant", "")))
 }
 
-// Core is what a core tells when it is asked.
+// Core provides the state of a core for metrics.
 type Core interface {
 	View(within time.Duration) (dispatch.View, bool)
 	OpenRequests() int
 }
 
-// WatchFleet makes gauges of what a fleet's part tells: read is called once for each export.
-func (t *Telemetry) WatchFleet(read func() []fleet.Figure) error {
+// RegisterFleetGauges registers gauges for the figures of the fleet's budgets. readFigures is called once
+// for each export.
+func (t *Telemetry) RegisterFleetGauges(readFigures func() []fleet.Figure) error {
 	if t.meter == nil {
 		return nil
 	}
 	gauges := map[string]metric.Float64ObservableGauge{}
-	var all []metric.Observable
-	for name, about := range fleet.Figures {
-		g, err := t.meter.Float64ObservableGauge(name, metric.WithDescription(about))
+	var observables []metric.Observable
+	for name, description := range fleet.Figures {
+		gauge, err := t.meter.Float64ObservableGauge(name, metric.WithDescription(description))
 		if err != nil {
 			return err
 		}
-		gauges[name] = g
-		all = append(all, g)
+		gauges[name] = gauge
+		observables = append(observables, gauge)
 	}
-	_, err := t.meter.RegisterCallback(func(_ context.Context, to metric.Observer) error {
-		for _, f := range read() {
-			to.ObserveFloat64(gauges[f.Name], f.Value, metric.WithAttributes(attribute.String("budget", f.Budget), attribute.String("holder", f.Holder)))
+	_, err := t.meter.RegisterCallback(func(_ context.Context, observer metric.Observer) error {
+		for _, figure := range readFigures() {
+			observer.ObserveFloat64(gauges[figure.Name], figure.Value, metric.WithAttributes(attribute.String("budget", figure.Budget), attribute.String("holder", figure.Holder)))
 		}
 		return nil
-	}, all...)
+	}, observables...)
 	return err
 }
 
-const viewWait = 200 * time.Millisecond
+// viewTimeout is how long an export waits for a core's state.
+const viewTimeout = 200 * time.Millisecond
 
-// Watch makes gauges of what the policy holds. It asks the core once for each export, and does
-// without where the core is busy.
-func (t *Telemetry) Watch(front string, core Core) error {
+// RegisterCoreGauges registers gauges for the state of a core's balancer. The core is queried once for
+// each export. If it does not respond in time, the export omits these gauges.
+func (t *Telemetry) RegisterCoreGauges(server string, core Core) error {
 	if t.meter == nil {
 		return nil
 	}
-	gauge := func(name, about string) metric.Float64ObservableGauge {
-		g, err := t.meter.Float64ObservableGauge(name, metric.WithDescription(about))
+	gauge := func(name, description string) metric.Float64ObservableGauge {
+		g, err := t.meter.Float64ObservableGauge(name, metric.WithDescription(description))
 		if err != nil {
-			t.log.Warn("telemetry", "err", err)
+			t.log.Warn("creating a gauge failed", "err", err)
 		}
 		return g
 	}
-	queue, open, flight := gauge("tinroute.queue", "requests that wait for room"), gauge("tinroute.open", "requests owed an answer"),
+	queue, openRequests, inFlight := gauge("tinroute.queue", "requests that wait for room"), gauge("tinroute.open", "requests owed an answer"),
 		gauge("tinroute.region.in_flight", "slots of own tasks at a region")
 	slots, others := gauge("tinroute.region.slots", "a region's size as the policy takes it"),
 		gauge("tinroute.region.others", "slots held by unseen dispatchers, as the policy takes it")
-	slowness, held := gauge("tinroute.region.slowness", "a region's mean running time against the fleet's, as a logarithm"),
+	slowness, heldBack := gauge("tinroute.region.slowness", "a region's mean running time against the fleet's, as a logarithm"),
 		gauge("tinroute.region.held_back", "seconds for which a region gets no ordinary work yet")
 	threshold := gauge("tinroute.copy.threshold", "after how many mean runs a job is copied, by the kinds of its worker and of the free one")
-	_, err := t.meter.RegisterCallback(func(_ context.Context, to metric.Observer) error {
-		v, ok := core.View(viewWait)
+	_, err := t.meter.RegisterCallback(func(_ context.Context, observer metric.Observer) error {
+		view, ok := core.View(viewTimeout)
 		if !ok {
 			return nil
 		}
-		f := attribute.String("front", front)
-		to.ObserveFloat64(queue, float64(v.Queued), metric.WithAttributes(f))
-		to.ObserveFloat64(open, float64(core.OpenRequests()), metric.WithAttributes(f))
-		for i, w := range v.Workers {
-			if i >= min(t.o.MaxWorkerSeries, dispatch.MaxViewNames) { // a sum over the rest would mix what cannot be added
+		serverAttribute := attribute.String("front", server)
+		observer.ObserveFloat64(queue, float64(view.Queued), metric.WithAttributes(serverAttribute))
+		observer.ObserveFloat64(openRequests, float64(core.OpenRequests()), metric.WithAttributes(serverAttribute))
+		for i, worker := range view.Workers {
+			if i >= min(t.options.MaxWorkerSeries, dispatch.MaxViewNames) { // the values of the rest cannot be added up
 				break
 			}
-			a := metric.WithAttributes(f, attribute.String("region", v.Names[w.ID]))
-			to.ObserveFloat64(flight, w.Used, a)
-			to.ObserveFloat64(slots, w.Slots, a)
-			to.ObserveFloat64(others, w.UsedByOthers, a)
-			to.ObserveFloat64(slowness, w.Slowness, a)
-			to.ObserveFloat64(held, w.HeldFor.Seconds(), a)
+			attributes := metric.WithAttributes(serverAttribute, attribute.String("region", view.Names[worker.ID]))
+			observer.ObserveFloat64(inFlight, worker.Used, attributes)
+			observer.ObserveFloat64(slots, worker.Slots, attributes)
+			observer.ObserveFloat64(others, worker.UsedByOthers, attributes)
+			observer.ObserveFloat64(slowness, worker.Slowness, attributes)
+			observer.ObserveFloat64(heldBack, worker.HeldFor.Seconds(), attributes)
 		}
-		for i, row := range v.CopyThresholds {
-			for j, x := range row {
-				if !math.IsInf(x, 0) && !math.IsNaN(x) {
-					to.ObserveFloat64(threshold, x, metric.WithAttributes(f, attribute.String("from", strconv.Itoa(i)), attribute.String("to", strconv.Itoa(j))))
+		for fromKind, row := range view.CopyThresholds {
+			for toKind, value := range row {
+				if !math.IsInf(value, 0) && !math.IsNaN(value) {
+					observer.ObserveFloat64(threshold, value, metric.WithAttributes(serverAttribute,
+						attribute.String("from", strconv.Itoa(fromKind)), attribute.String("to", strconv.Itoa(toKind))))
 				}
 			}
 		}
 		return nil
-	}, queue, open, flight, slots, others, slowness, held, threshold)
+	}, queue, openRequests, inFlight, slots, others, slowness, heldBack, threshold)
 	return err
 }
--- a/internal/telemetry/logs.go
+++ b/internal/telemetry/logs.go
@@ -8,33 +8,37 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Handler returns a log handler that tells the collector too of what next is told, with the span of
-// the request that a line names by its id.
-func (t *Telemetry) Handler(next slog.Handler) slog.Handler {
-	if t == nil || t.logs == nil {
+// LogHandler returns a handler that passes log records to next and exports them to the collector. A record
+// whose attribute "id" is the ID of an open request is exported with the trace and span of that request.
+func (t *Telemetry) LogHandler(next slog.Handler) slog.Handler {
+	if t == nil || t.loggerProvider == nil {
 		return next
 	}
-	return slog.NewMultiHandler(next, &spanned{t: t, Handler: otelslog.NewHandler(scope, otelslog.WithLoggerProvider(t.logs))})
+	return slog.NewMultiHandler(next, &traceContextHandler{telemetry: t, Handler: otelslog.NewHandler(instrumentationScope, otelslog.WithLoggerProvider(t.loggerProvider))})
 }
 
-// spanned finds the span of a line's request.
-type spanned struct {
+// traceContextHandler adds the span of the request that a log record names to the context.
+type traceContextHandler struct {
 	slog.Handler
-	t *Telemetry
+	telemetry *Telemetry
 }
 
-func (h *spanned) Handle(ctx context.Context, r slog.Record) error {
+func (h *traceContextHandler) Handle(ctx context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key != "id" {
 			return true
 		}
-		if c, ok := h.t.open.Load(a.Value.String()); ok {
-			ctx = trace.ContextWithSpanContext(ctx, c.(trace.SpanContext))
+		if spanContext, ok := h.telemetry.openSpans.Load(a.Value.String()); ok {
+			ctx = trace.ContextWithSpanContext(ctx, spanContext.(trace.SpanContext))
 		}
 		return false
 	})
 	return h.Handler.Handle(ctx, r)
 }
 
-func (h *spanned) WithAttrs(a []slog.Attr) slog.Handler { return &spanned{h.Handler.WithAttrs(a), h.t} }
-func (h *spanned) WithGroup(g string) slog.Handler      { return &spanned{h.Handler.WithGroup(g), h.t} }
+func (h *traceContextHandler) WithAttrs(a []slog.Attr) slog.Handler {
+	return &traceContextHandler{h.Handler.WithAttrs(a), h.telemetry}
+}
+func (h *traceContextHandler) WithGroup(g string) slog.Handler {
+	return &traceContextHandler{h.Handler.WithGroup(g), h.telemetry}
+}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,10 +1,11 @@
-// Package telemetry tells an OpenTelemetry collector what the cores do, by OTLP: spans of requests,
-// metrics, and logs. It is off unless an endpoint is configured.
+// Package telemetry exports traces of requests, metrics and logs to an OpenTelemetry collector by OTLP. It
+// is disabled unless an endpoint is configured.
 //
-// The core's goroutine only notes what happens, in records that a budget bounds, and hands each to a
-// worker when its request is over. The worker decides whether the trace is kept (internal/tail),
-// records metrics, and makes spans of what is kept; the SDK encodes them, and internal/otlp
-// delivers. No step waits for the next: what does not fit is dropped and counted.
+// On the core's goroutine an Observer collects the events of each request in a record. The memory for
+// records is limited. When a request is over, its record is queued for the processing goroutine. That
+// goroutine decides whether to keep the trace (internal/tailsampling), records metrics and creates the
+// spans of the kept traces. The SDK encodes the spans, and internal/otlp sends them. No stage blocks on
+// the next one: data that exceeds a limit is dropped and counted.
 package telemetry
 
 import (
@@ -42,329 +43,345 @@
 )
 
 const (
-	scope     = "tinroute.example/tinroute"
-	queueSize = 4096 // records on their way to the worker
-	// lookEvery is how often the worker takes what has come. It is not woken for each: that would
-	// cost the core's goroutine a switch a request.
-	lookEvery = 50 * time.Millisecond
-	batchSize = 256 // spans
-	flushWait = time.Second
-	// closeWait bounds the last deliveries, so that a dead collector cannot hold up the end.
-	closeWait = time.Second
-	// laneShare is the part of the budget that each lane's batches may take; the rest is for records.
-	laneShare = 0.2
-	logQueue  = 256
-	// reasonsTold bounds the reasons of refusals, which scripts may word.
-	reasonsTold = 50
+	instrumentationScope = "tinroute.example/tinroute"
+	maxQueuedRecords     = 4096 // records that wait for the processing goroutine
+	// pollInterval is how often the processing goroutine reads its queue. Waking it for each record would
+	// cost the core's goroutine a context switch per request.
+	pollInterval  = 50 * time.Millisecond
+	spanBatchSize = 256 // spans
+	flushInterval = time.Second
+	// closeTimeout limits the final export, so that a collector that does not respond cannot delay shutdown.
+	closeTimeout = time.Second
+	// senderMemoryShare is the share of the memory limit for the queue of each sender. The rest is for records.
+	senderMemoryShare = 0.2
+	logQueueSize      = 256
+	// maxReasonSeries limits the number of distinct refusal reasons in metrics, because scripts can set
+	// arbitrary reasons.
+	maxReasonSeries = 50
 )
 
-// Telemetry holds the export's parts.
+// Telemetry exports the telemetry of a process.
 type Telemetry struct {
-	o      *config.Telemetry
-	log    *slog.Logger
-	lanes  map[otlp.Signal]*otlp.Lane
-	meter  metric.Meter // nil where metrics are off
-	tracer trace.Tracer
-	batch  batcher
-	spansX sdktrace.SpanExporter
-	meters *sdkmetric.MeterProvider
-	logs   *sdklog.LoggerProvider
-	figures
-	regions, tenants, reasons names
-	sets                      map[string]metric.MeasurementOption // the worker's own
+	options        *config.Telemetry
+	log            *slog.Logger
+	senders        map[otlp.Signal]*otlp.Sender
+	meter          metric.Meter // nil if metrics are disabled
+	tracer         trace.Tracer
+	endedSpans     spanCollector
+	spanExporter   sdktrace.SpanExporter
+	meterProvider  *sdkmetric.MeterProvider
+	loggerProvider *sdklog.LoggerProvider
+	instruments
+	workerNames, tenantNames, reasonNames boundedNames
+	attributeSets                         map[string]metric.MeasurementOption // used by the processing goroutine only
 
-	mu      sync.Mutex
-	sampler *tailsampling.Sampler
-	began   time.Time
-	open    sync.Map     // request id to trace.SpanContext, for log lines
-	lost    atomic.Int64 // records that found the worker too far behind
-	unheard atomic.Int64 // bare answers that did
-	behind  atomic.Int64 // traces that were to be kept, for which it had no time
+	mu             sync.Mutex // guards sampler
+	sampler        *tailsampling.Sampler
+	startedAt      time.Time    // zero of the sampler's clock
+	openSpans      sync.Map     // request ID to trace.SpanContext, for log lines
+	droppedRecords atomic.Int64 // full records dropped because the queue was full
+	droppedMinimal atomic.Int64 // minimal records dropped because the queue was full
+	droppedTraces  atomic.Int64 // sampled traces not exported because the processing goroutine fell behind
 
-	come   sync.Mutex
-	in     []any   // ended or bare, for the worker; guarded by come
-	coming []any   // the worker's own: taken from in
-	held   []ended // the worker's own: their front has still to tell of the answer
-	stop   context.CancelFunc
-	done   sync.WaitGroup // lanes
-	rest   chan struct{}  // closed where no more records come
-	worked chan struct{}
+	queueMu          sync.Mutex
+	queue            []any         // of endedRecord or minimalRecord; guarded by queueMu
+	batch            []any         // taken from queue; used by the processing goroutine only
+	awaitingDelivery []endedRecord // their answers are not yet written; used by the processing goroutine only
+	cancelSenders    context.CancelFunc
+	sendersDone      sync.WaitGroup
+	closing          chan struct{} // closed when no more records are queued
+	processingDone   chan struct{} // closed when the processing goroutine has ended
 }
 
-type ended struct {
-	o *Observer
-	r *record
+// endedRecord is the record of a request that is over, with the observer that made it.
+type endedRecord struct {
+	observer *Observer
+	record   *requestRecord
 }
 
-// New starts telemetry, or returns nil where o is.
-func New(ctx context.Context, o *config.Telemetry, instance string, log *slog.Logger) (*Telemetry, error) {
-	if o == nil {
+// New starts the export. It returns nil if options is nil.
+func New(ctx context.Context, options *config.Telemetry, instance string, log *slog.Logger) (*Telemetry, error) {
+	if options == nil {
 		return nil, nil
 	}
-	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) { log.Warn("telemetry", "err", err) }))
+	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) { log.Warn("OpenTelemetry SDK error", "err", err) }))
 	res, err := resource.New(ctx, resource.WithAttributes(attribute.String("service.name", "tinroute"),
 		attribute.String("service.instance.id", instance)), resource.WithFromEnv(), resource.WithTelemetrySDK())
 	if err != nil {
 		return nil, fmt.Errorf("OTEL_RESOURCE_ATTRIBUTES: %w", err)
 	}
-	limits := o.Sampling
-	limits.Bytes = int64(float64(limits.Bytes) * (1 - laneShare*float64(len(o.Endpoints))))
-	t := &Telemetry{o: o, log: log, lanes: map[otlp.Signal]*otlp.Lane{}, sampler: tailsampling.New(limits), began: time.Now(),
-		rest: make(chan struct{}), worked: make(chan struct{}), regions: names{o.MaxWorkerSeries, map[string]bool{}}, tenants: names{o.MaxTenantSeries, map[string]bool{}},
-		reasons: names{reasonsTold, map[string]bool{}}, sets: map[string]metric.MeasurementOption{}}
-	run, stop := context.WithCancel(context.Background())
-	t.stop = stop
-	last := sync.OnceValue(func() context.Context {
-		ctx, stop := context.WithTimeout(context.Background(), closeWait)
-		context.AfterFunc(ctx, stop)
+	limits := options.Sampling
+	limits.MaxBytes = int64(float64(limits.MaxBytes) * (1 - senderMemoryShare*float64(len(options.Endpoints))))
+	t := &Telemetry{options: options, log: log, senders: map[otlp.Signal]*otlp.Sender{},
+		sampler: tailsampling.New(limits), startedAt: time.Now(),
+		closing: make(chan struct{}), processingDone: make(chan struct{}),
+		workerNames:   boundedNames{options.MaxWorkerSeries, map[string]bool{}},
+		tenantNames:   boundedNames{options.MaxTenantSeries, map[string]bool{}},
+		reasonNames:   boundedNames{maxReasonSeries, map[string]bool{}},
+		attributeSets: map[string]metric.MeasurementOption{}}
+	sendCtx, cancel := context.WithCancel(context.Background())
+	t.cancelSenders = cancel
+	finalContext := sync.OnceValue(func() context.Context {
+		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+		context.AfterFunc(ctx, cancel)
 		return ctx
 	})
-	for s, e := range o.Endpoints {
-		transport, err := otlp.NewTransport(s, e)
+	for signal, endpoint := range options.Endpoints {
+		transport, err := otlp.NewTransport(signal, endpoint)
 		if err != nil {
-			stop()
-			return nil, fmt.Errorf("telemetry: %s: %w", s, err)
+			cancel()
+			return nil, fmt.Errorf("telemetry: %s: %w", signal, err)
 		}
-		lane := otlp.Options{Signal: s, Transport: transport, Log: log, Bytes: int64(laneShare * float64(o.Sampling.Bytes)), Pace: o.SpoolInterval,
-			Seed: uint64(time.Now().UnixNano())}
-		if o.SpoolDir != "" {
-			if lane.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(o.SpoolDir, s.String()), MaxBytes: o.SpoolMaxBytes / int64(len(o.Endpoints))}); err != nil {
-				stop()
+		senderOptions := otlp.Options{Signal: signal, Transport: transport, Log: log,
+			MaxQueueBytes: int64(senderMemoryShare * float64(options.Sampling.MaxBytes)),
+			SpoolInterval: options.SpoolInterval, Seed: uint64(time.Now().UnixNano())}
+		if options.SpoolDir != "" {
+			senderOptions.Spool, err = spool.Open(spool.Options{Dir: filepath.Join(options.SpoolDir, signal.String()),
+				MaxBytes: options.SpoolMaxBytes / int64(len(options.Endpoints))})
+			if err != nil {
+				cancel()
 				return nil, fmt.Errorf("telemetry: spool.dir: %w", err)
 			}
 		}
-		l := otlp.NewLane(lane)
-		t.lanes[s] = l
-		t.done.Go(func() { l.Run(run, last) })
+		sender := otlp.NewSender(senderOptions)
+		t.senders[signal] = sender
+		t.sendersDone.Go(func() { sender.Run(sendCtx, finalContext) })
 	}
-	if err := t.providers(ctx, res); err != nil {
-		stop()
+	if err := t.startProviders(ctx, res); err != nil {
+		cancel()
 		return nil, err
 	}
-	go t.work()
+	go t.processRecords()
 	return t, nil
 }
 
-// nowhere is the endpoint that the SDK's exporters are given: their bytes go to a lane.
-const nowhere = "http://telemetry.invalid"
+// placeholderURL is the endpoint of the SDK's exporters. It is never contacted, because their HTTP client
+// passes the request bodies to a Sender.
+const placeholderURL = "http://telemetry.invalid"
 
-func (t *Telemetry) client(s otlp.Signal) *http.Client {
-	return &http.Client{Transport: roundTrip{t.lanes[s]}}
+func (t *Telemetry) httpClient(s otlp.Signal) *http.Client {
+	return &http.Client{Transport: senderTransport{t.senders[s]}}
 }
 
-type roundTrip struct{ *otlp.Lane }
+// senderTransport is an http.RoundTripper that queues request bodies in a Sender.
+type senderTransport struct{ *otlp.Sender }
 
-// providers sets the SDK up. It reads the OTEL_ variables of its own, but where batches go and how
-// they are compressed is decided here.
-func (t *Telemetry) providers(ctx context.Context, res *resource.Resource) (err error) {
-	spans := sdktrace.NewTracerProvider(sdktrace.WithResource(res), sdktrace.WithSampler(sdktrace.AlwaysSample()),
-		sdktrace.WithIDGenerator(ids{}), sdktrace.WithSpanProcessor(&t.batch))
-	t.tracer = spans.Tracer(scope)
-	if t.lanes[otlp.Traces] != nil {
-		if t.spansX, err = otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(nowhere+"/v1/traces"), otlptracehttp.WithHTTPClient(t.client(otlp.Traces)),
+// startProviders sets up the SDK. The SDK reads its OTEL_ variables itself, except that the endpoint and
+// the compression are set here.
+func (t *Telemetry) startProviders(ctx context.Context, res *resource.Resource) (err error) {
+	tracerProvider := sdktrace.NewTracerProvider(sdktrace.WithResource(res), sdktrace.WithSampler(sdktrace.AlwaysSample()),
+		sdktrace.WithIDGenerator(presetIDGenerator{}), sdktrace.WithSpanProcessor(&t.endedSpans))
+	t.tracer = tracerProvider.Tracer(instrumentationScope)
+	if t.senders[otlp.Traces] != nil {
+		if t.spanExporter, err = otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(placeholderURL+"/v1/traces"), otlptracehttp.WithHTTPClient(t.httpClient(otlp.Traces)),
 			otlptracehttp.WithCompression(otlptracehttp.NoCompression), otlptracehttp.WithRetry(otlptracehttp.RetryConfig{})); err != nil {
 			return err
 		}
 	}
-	var meters metric.MeterProvider = noop.NewMeterProvider()
-	if t.lanes[otlp.Metrics] != nil {
-		x, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(nowhere+"/v1/metrics"), otlpmetrichttp.WithHTTPClient(t.client(otlp.Metrics)),
+	var meterProvider metric.MeterProvider = noop.NewMeterProvider()
+	if t.senders[otlp.Metrics] != nil {
+		exporter, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(placeholderURL+"/v1/metrics"), otlpmetrichttp.WithHTTPClient(t.httpClient(otlp.Metrics)),
 			otlpmetrichttp.WithCompression(otlpmetrichttp.NoCompression), otlpmetrichttp.WithRetry(otlpmetrichttp.RetryConfig{}))
 		if err != nil {
 			return err
 		}
-		t.meters = sdkmetric.NewMeterProvider(sdkmetric.WithResource(res), sdkmetric.WithReader(sdkmetric.NewPeriodicReader(x, sdkmetric.WithInterval(t.o.MetricInterval))),
+		t.meterProvider = sdkmetric.NewMeterProvider(sdkmetric.WithResource(res),
+			sdkmetric.WithReader(sdkmetric.NewPeriodicReader(exporter, sdkmetric.WithInterval(t.options.MetricInterval))),
 			sdkmetric.WithView(sdkmetric.NewView(sdkmetric.Instrument{Kind: sdkmetric.InstrumentKindHistogram},
 				sdkmetric.Stream{Aggregation: sdkmetric.AggregationBase2ExponentialHistogram{MaxSize: 160, MaxScale: 20}})))
-		meters, t.meter = t.meters, t.meters.Meter(scope)
-		if err := t.own(t.meter); err != nil {
+		meterProvider, t.meter = t.meterProvider, t.meterProvider.Meter(instrumentationScope)
+		if err := t.registerSelfMetrics(t.meter); err != nil {
 			return err
 		}
 	}
-	if err := t.instruments(meters.Meter(scope)); err != nil {
+	if err := t.createInstruments(meterProvider.Meter(instrumentationScope)); err != nil {
 		return err
 	}
-	if t.lanes[otlp.Logs] != nil {
-		x, err := otlploghttp.New(ctx, otlploghttp.WithEndpointURL(nowhere+"/v1/logs"), otlploghttp.WithHTTPClient(t.client(otlp.Logs)),
+	if t.senders[otlp.Logs] != nil {
+		exporter, err := otlploghttp.New(ctx, otlploghttp.WithEndpointURL(placeholderURL+"/v1/logs"), otlploghttp.WithHTTPClient(t.httpClient(otlp.Logs)),
 			otlploghttp.WithCompression(otlploghttp.NoCompression), otlploghttp.WithRetry(otlploghttp.RetryConfig{}))
 		if err != nil {
 			return err
 		}
-		t.logs = sdklog.NewLoggerProvider(sdklog.WithResource(res), sdklog.WithProcessor(sdklog.NewBatchProcessor(x, sdklog.WithMaxQueueSize(logQueue),
-			sdklog.WithExportMaxBatchSize(logQueue/2), sdklog.WithExportInterval(flushWait))))
+		t.loggerProvider = sdklog.NewLoggerProvider(sdklog.WithResource(res), sdklog.WithProcessor(sdklog.NewBatchProcessor(exporter, sdklog.WithMaxQueueSize(logQueueSize),
+			sdklog.WithExportMaxBatchSize(logQueueSize/2), sdklog.WithExportInterval(flushInterval))))
 	}
 	return nil
 }
 
-// own registers what is told of the process and of telemetry itself.
-func (t *Telemetry) own(m metric.Meter) error {
+// registerSelfMetrics registers metrics of the process and of the telemetry export itself.
+func (t *Telemetry) registerSelfMetrics(meter metric.Meter) error {
 	var errs []error
-	gauge := func(name, unit, about string) metric.Int64ObservableGauge {
-		g, err := m.Int64ObservableGauge(name, metric.WithUnit(unit), metric.WithDescription(about))
+	gauge := func(name, unit, description string) metric.Int64ObservableGauge {
+		g, err := meter.Int64ObservableGauge(name, metric.WithUnit(unit), metric.WithDescription(description))
 		errs = append(errs, err)
 		return g
 	}
-	dropped, err := m.Int64ObservableCounter("tinroute.telemetry.dropped", metric.WithDescription("traces, batches and records dropped, by signal and reason"))
+	dropped, err := meter.Int64ObservableCounter("tinroute.telemetry.dropped", metric.WithDescription("traces, batches and records dropped, by signal and reason"))
 	errs = append(errs, err)
-	kept, err := m.Int64ObservableCounter("tinroute.telemetry.kept", metric.WithDescription("traces kept, by reason"))
+	kept, err := meter.Int64ObservableCounter("tinroute.telemetry.kept", metric.WithDescription("traces kept, by reason"))
 	errs = append(errs, err)
 	used, waiting := gauge("tinroute.telemetry.used", "By", "memory that records hold"), gauge("tinroute.telemetry.waiting", "By", "batches that wait in memory")
 	spooled := gauge("tinroute.telemetry.spooled", "{batch}", "batches that wait on disk")
 	files, heap := gauge("process.open_file_descriptor.count", "{file_descriptor}", "open descriptors"), gauge("go.memory.used", "By", "memory that the Go runtime holds")
-	routines, gcs := gauge("go.goroutine.count", "{goroutine}", "goroutines"), gauge("go.gc.count", "{gc}", "collections since the start")
-	_, err = m.RegisterCallback(func(_ context.Context, to metric.Observer) error {
+	goroutines, collections := gauge("go.goroutine.count", "{goroutine}", "goroutines"), gauge("go.gc.count", "{gc}", "collections since the start")
+	_, err = meter.RegisterCallback(func(_ context.Context, observer metric.Observer) error {
 		t.mu.Lock()
-		counts, bytes := t.sampler.Counts(), t.sampler.Used()
+		counts, bytes := t.sampler.Counts(), t.sampler.UsedBytes()
 		t.mu.Unlock()
-		counts["queue"] = t.lost.Load()
-		for why, n := range counts {
-			switch a := metric.WithAttributes(attribute.String("signal", "traces"), attribute.String("reason", string(why))); why {
-			case tailsampling.Over, tailsampling.Pressure, tailsampling.Budget, "queue":
-				to.ObserveInt64(dropped, n, a)
+		counts["queue"] = t.droppedRecords.Load()
+		for reason, n := range counts {
+			switch attributes := metric.WithAttributes(attribute.String("signal", "traces"), attribute.String("reason", string(reason))); reason {
+			case tailsampling.OverRate, tailsampling.MemoryPressure, tailsampling.OutOfMemory, "queue":
+				observer.ObserveInt64(dropped, n, attributes)
 			default:
-				to.ObserveInt64(kept, n, a)
+				observer.ObserveInt64(kept, n, attributes)
 			}
 		}
-		to.ObserveInt64(dropped, t.behind.Load(), metric.WithAttributes(attribute.String("signal", "traces"), attribute.String("reason", "behind")))
-		to.ObserveInt64(dropped, t.unheard.Load(), metric.WithAttributes(attribute.String("signal", "metrics"), attribute.String("reason", "queue")))
-		to.ObserveInt64(used, bytes)
-		for s, l := range t.lanes {
-			st, signal := l.Stats(), attribute.String("signal", s.String())
-			for why, n := range st.Dropped {
-				to.ObserveInt64(dropped, n, metric.WithAttributes(signal, attribute.String("reason", "batch_"+why)))
+		observer.ObserveInt64(dropped, t.droppedTraces.Load(), metric.WithAttributes(attribute.String("signal", "traces"), attribute.String("reason", "behind")))
+		observer.ObserveInt64(dropped, t.droppedMinimal.Load(), metric.WithAttributes(attribute.String("signal", "metrics"), attribute.String("reason", "queue")))
+		observer.ObserveInt64(used, bytes)
+		for signalID, sender := range t.senders {
+			stats, signal := sender.Stats(), attribute.String("signal", signalID.String())
+			for reason, n := range stats.Dropped {
+				observer.ObserveInt64(dropped, n, metric.WithAttributes(signal, attribute.String("reason", "batch_"+reason)))
 			}
-			if st.Rejected > 0 {
-				to.ObserveInt64(dropped, st.Rejected, metric.WithAttributes(signal, attribute.String("reason", "rejected")))
+			if stats.RejectedRecords > 0 {
+				observer.ObserveInt64(dropped, stats.RejectedRecords, metric.WithAttributes(signal, attribute.String("reason", "rejected")))
 			}
-			to.ObserveInt64(waiting, st.Waiting, metric.WithAttributes(signal))
-			to.ObserveInt64(spooled, st.Spooled, metric.WithAttributes(signal))
+			observer.ObserveInt64(waiting, stats.QueuedBytes, metric.WithAttributes(signal))
+			observer.ObserveInt64(spooled, stats.SpooledBatches, metric.WithAttributes(signal))
 		}
-		if d, err := os.ReadDir("/proc/self/fd"); err == nil {
-			to.ObserveInt64(files, int64(len(d)))
+		if descriptors, err := os.ReadDir("/proc/self/fd"); err == nil {
+			observer.ObserveInt64(files, int64(len(descriptors)))
 		}
-		var ms runtime.MemStats
-		runtime.ReadMemStats(&ms)
-		to.ObserveInt64(heap, int64(ms.Sys-ms.HeapReleased))
-		to.ObserveInt64(gcs, int64(ms.NumGC))
-		to.ObserveInt64(routines, int64(runtime.NumGoroutine()))
+		var memStats runtime.MemStats
+		runtime.ReadMemStats(&memStats)
+		observer.ObserveInt64(heap, int64(memStats.Sys-memStats.HeapReleased))
+		observer.ObserveInt64(collections, int64(memStats.NumGC))
+		observer.ObserveInt64(goroutines, int64(runtime.NumGoroutine()))
 		return nil
-	}, dropped, kept, used, waiting, spooled, files, heap, routines, gcs)
+	}, dropped, kept, used, waiting, spooled, files, heap, goroutines, collections)
 	return errors.Join(append(errs, err)...)
 }
 
-// Observe returns an observer for the core of the front that is named.
-func (t *Telemetry) Observe(front string, s *balance.Settings) *Observer {
-	return &Observer{t: t, front: front, frontOnly: metric.WithAttributes(attribute.String("front", front)), settings: s, open: map[*dispatch.Request]*record{}}
+// NewObserver returns an observer for the core of the named protocol server.
+func (t *Telemetry) NewObserver(server string, settings *balance.Settings) *Observer {
+	return &Observer{telemetry: t, server: server, settings: settings, openRequests: map[*dispatch.Request]*requestRecord{},
+		serverAttribute: metric.WithAttributes(attribute.String("front", server))}
 }
 
-// work is the worker.
-func (t *Telemetry) work() {
-	defer close(t.worked)
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	flushed := time.Now()
+// processRecords runs the processing goroutine until closing is closed.
+func (t *Telemetry) processRecords() {
+	defer close(t.processingDone)
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	lastFlush := time.Now()
 	for {
 		select {
-		case now := <-look.C:
-			t.look(now)
-			if now.Sub(flushed) >= flushWait {
-				t.flush()
-				flushed = now
+		case now := <-ticker.C:
+			t.processQueue(now)
+			if now.Sub(lastFlush) >= flushInterval {
+				t.flushSpans()
+				lastFlush = now
 			}
-		case <-t.rest:
-			t.look(time.Now().Add(settleWait)) // what a front has not told of by now it never will
-			t.flush()
+		case <-t.closing:
+			t.processQueue(time.Now().Add(maxDeliveryWait)) // do not wait any longer for answers to be written
+			t.flushSpans()
 			return
 		}
 	}
 }
 
-// look takes what has come, and what was held for its front's word.
-func (t *Telemetry) look(now time.Time) {
-	t.come.Lock()
-	t.in, t.coming = t.coming[:0], t.in
-	t.come.Unlock()
-	held := t.held
-	t.held = nil
-	for _, e := range held {
-		t.settle(e, now, 0)
+// processQueue processes the records in the queue and those that waited for their answer to be written.
+func (t *Telemetry) processQueue(now time.Time) {
+	t.queueMu.Lock()
+	t.queue, t.batch = t.batch[:0], t.queue
+	t.queueMu.Unlock()
+	awaiting := t.awaitingDelivery
+	t.awaitingDelivery = nil
+	for _, item := range awaiting {
+		t.process(item, now, 0)
 	}
-	for i, e := range t.coming {
-		switch e := e.(type) {
-		case bare:
-			t.bareAnswer(e)
-		case ended:
-			t.settle(e, now, len(t.coming)-i)
+	for i, item := range t.batch {
+		switch item := item.(type) {
+		case minimalRecord:
+			t.recordMinimalMetrics(item)
+		case endedRecord:
+			t.process(item, now, len(t.batch)-i)
 		}
-		runtime.Gosched() // on one processor a core that has work must not wait for all of them
-		if len(t.batch.spans) >= batchSize {
-			t.flush()
+		runtime.Gosched() // on a single processor, the core must not wait until the whole batch is processed
+		if len(t.endedSpans.spans) >= spanBatchSize {
+			t.flushSpans()
 		}
 	}
-	clear(t.coming)
+	clear(t.batch)
 }
 
-// settle decides on a record that is whole. behind is how many wait after it.
-func (t *Telemetry) settle(e ended, now time.Time, behind int) {
-	if !e.r.complete(now) {
-		t.held = append(t.held, e)
+// process records the metrics of a request and creates its spans if the trace is kept. A record whose
+// answer is not yet written is set aside. backlog is the number of records that wait, including this one.
+func (t *Telemetry) process(ended endedRecord, now time.Time, backlog int) {
+	if !ended.record.deliverySettled(now) {
+		t.awaitingDelivery = append(t.awaitingDelivery, ended)
 		return
 	}
 	t.mu.Lock()
-	keep, why := t.sampler.Decide(time.Since(t.began), e.r.summary(&e.o.settings.Classes[e.r.class]))
+	keep, reason := t.sampler.Decide(time.Since(t.startedAt), ended.record.summary(&ended.observer.settings.Classes[ended.record.class]))
 	t.mu.Unlock()
-	if keep && behind > queueSize/2 { // metrics first: a flood of kept traces must not cost the count of the rest
+	if keep && backlog > maxQueuedRecords/2 { // under overload, creating spans must not cause the metrics of other requests to be lost
 		keep = false
-		t.behind.Add(1)
+		t.droppedTraces.Add(1)
 	}
 	ctx := background
-	if keep = keep && t.spansX != nil; keep {
-		ctx = trace.ContextWithSpanContext(ctx, e.r.ids)
+	if keep = keep && t.spanExporter != nil; keep {
+		ctx = trace.ContextWithSpanContext(ctx, ended.record.spanContext)
 	}
-	t.measure(ctx, e.o, e.r)
+	t.recordMetrics(ctx, ended.observer, ended.record)
 	if keep {
-		t.spans(e.o, e.r, string(why))
+		t.emitSpans(ended.observer, ended.record, string(reason))
 	}
-	t.release(e.r.bytes)
+	t.release(ended.record.bytes)
 }
 
-// flush has the SDK encode what has ended; the bytes go to the lane, which never waits.
-func (t *Telemetry) flush() {
-	if len(t.batch.spans) > 0 && t.spansX != nil {
-		if err := t.spansX.ExportSpans(background, t.batch.spans); err != nil {
-			t.log.Warn("telemetry", "err", err)
+// flushSpans passes the ended spans to the SDK, which encodes them and queues them in a Sender. It does
+// not block.
+func (t *Telemetry) flushSpans() {
+	if len(t.endedSpans.spans) > 0 && t.spanExporter != nil {
+		if err := t.spanExporter.ExportSpans(background, t.endedSpans.spans); err != nil {
+			t.log.Warn("exporting spans failed, dropping them", "err", err)
 		}
 	}
-	clear(t.batch.spans)
-	t.batch.spans = t.batch.spans[:0]
+	clear(t.endedSpans.spans)
+	t.endedSpans.spans = t.endedSpans.spans[:0]
 }
 
-// Flush takes a last reading of the metrics. It waits for the cores at most.
-func (t *Telemetry) Flush() {
-	if t.meters == nil {
+// FlushMetrics reads and exports the metrics a last time, while the cores can still be queried. It takes
+// at most closeTimeout.
+func (t *Telemetry) FlushMetrics() {
+	if t.meterProvider == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if err := t.meters.ForceFlush(ctx); err != nil {
-		t.log.Warn("telemetry", "err", err)
+	if err := t.meterProvider.ForceFlush(ctx); err != nil {
+		t.log.Warn("exporting the final metrics failed", "err", err)
 	}
 }
 
-// Close sends what is left, within a bound. The cores must have ended.
+// Close exports the remaining data for a limited time. The cores must have stopped.
 func (t *Telemetry) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	close(t.rest)
-	<-t.worked
+	close(t.closing)
+	<-t.processingDone
 	var errs []error
-	if t.meters != nil {
-		errs = append(errs, t.meters.Shutdown(ctx))
+	if t.meterProvider != nil {
+		errs = append(errs, t.meterProvider.Shutdown(ctx))
 	}
-	if t.logs != nil {
-		errs = append(errs, t.logs.Shutdown(ctx))
+	if t.loggerProvider != nil {
+		errs = append(errs, t.loggerProvider.Shutdown(ctx))
 	}
-	t.stop()
-	t.done.Wait()
+	t.cancelSenders()
+	t.sendersDone.Wait()
 	return errors.Join(errs...)
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,11 +1,9 @@
-// Package wire speaks the simulator's line protocol: it turns lines into events
-// and actions into lines, and decides nothing.
+// Package wire implements the simulator's line protocol. It decodes input lines into events for a
+// balancer and encodes the balancer's actions as output lines.
 package wire
 
 import (
-	"encoding/base64"
 	"fmt"
-	"math"
 	"time"
 
 	"github.com/valyala/fastjson"
@@ -14,71 +12,83 @@
 	"tinroute.example/tinroute/internal/config"
 )
 
-// Kind is the name of an input message.
+// Kind is the type of an input message.
 type Kind uint8
 
-// The input messages.
+// The types of input messages. A frame is a batch of messages that share one time. All other messages are
+// addressed to an instance, which is one balancer.
 const (
-	Frame Kind = iota
-	End
-	Up
-	Kill
-	Members
-	Request
-	First
-	Outcome
-	Gone
-	Timer
-	Peer
-	Probed
-	Note
+	FrameStart       Kind = iota // sets the time of the frame
+	FrameEnd                     // the simulator waits for the actions
+	InstanceStart                // creates an instance with its settings
+	InstanceStop                 // removes an instance
+	MembershipUpdate             // the complete list of workers, or changes to it
+	JobSubmitted
+	StreamStarted // a worker has begun to return the result of an attempt
+	AttemptDone
+	ClientGone
+	TimerFired
+	PeerMessage // from another instance
+	ProbeDone
+	AttemptEvent // progress or another event of an attempt in flight
 )
 
-var kinds = map[string]Kind{
-	"frame": Frame, "over_to_you": End, "up": Up, "kill": Kill, "announce": Members, "ask": Request,
-	"accepted": First, "attempt_end": Outcome, "expired": Gone, "alarm": Timer, "memo": Peer,
-	"probe_done": Probed, "note": Note,
+// messageKinds maps the name of a message to its type.
+var messageKinds = map[string]Kind{
+	"frame":       FrameStart,
+	"over_to_you": FrameEnd,
+	"up":          InstanceStart,
+	"kill":        InstanceStop,
+	"announce":    MembershipUpdate,
+	"ask":         JobSubmitted,
+	"accepted":    StreamStarted,
+	"attempt_end": AttemptDone,
+	"expired":     ClientGone,
+	"alarm":       TimerFired,
+	"memo":        PeerMessage,
+	"probe_done":  ProbeDone,
+	"note":        AttemptEvent,
 }
 
-// Event is one decoded line. Which fields hold something depends on Kind.
+// Event is a decoded message. Kind determines which of the other fields are set.
 type Event struct {
-	Kind     Kind
-	Inst     int64
-	HasInst  bool
-	Now      time.Duration
-	Settings *balance.Settings
-	Names    *config.Names
-	List     balance.UpdateKind
-	Members  []balance.Member
-	Job      balance.Job
-	Result   balance.AttemptResult
-	Note     balance.EventKind
-	Amount   float64
-	Token    uint64
-	From     int
-	Data     []byte
+	Kind          Kind
+	InstanceID    int64
+	HasInstanceID bool
+	Now           time.Duration      // FrameStart
+	Settings      *balance.Settings  // InstanceStart
+	Names         *config.Names      // InstanceStart: the names in Settings
+	UpdateKind    balance.UpdateKind // MembershipUpdate
+	Members       []balance.Member   // MembershipUpdate
+	Job           balance.Job        // JobSubmitted; only the ID in other messages about a job
+	Result        balance.AttemptResult
+	AttemptEvent  balance.EventKind
+	Amount        float64 // AttemptEvent
+	TimerToken    uint64  // TimerFired
+	Peer          int     // PeerMessage: the sender
+	Data          []byte  // PeerMessage
 }
 
-// Decoder decodes lines, reusing its memory: an Event is valid until the next
-// call.
+// Decoder decodes lines. It reuses the memory of the Event that it returns, which is valid until the next
+// call of Decode.
 type Decoder struct {
-	parser fastjson.Parser
-	event  Event
-	names  map[int64]*config.Names
-	fields []*fastjson.Value
-	what   string
-	err    error
+	parser  fastjson.Parser
+	event   Event
+	names   map[int64]*config.Names // by instance ID
+	fields  []*fastjson.Value       // of the current message or list entry
+	message string                  // name of the current message, for errors
+	err     error                   // the first error in the current message
 }
 
-// NewDecoder returns a decoder that knows no instance yet.
+// NewDecoder returns a Decoder without instances.
 func NewDecoder() *Decoder { return &Decoder{names: map[int64]*config.Names{}} }
 
-// Decode reads one line. On an error the event still carries the instance where
-// the line named one.
+// Decode decodes one line. If it returns an error, the event still contains the instance ID if the line
+// has a valid one.
 func (d *Decoder) Decode(line []byte) (*Event, error) {
 	members, data := d.event.Members[:0], d.event.Data[:0]
 	d.event = Event{Members: members, Data: data}
-	d.err, d.what, d.fields = nil, "message", nil
+	d.err, d.message, d.fields = nil, "message", nil
 	v, err := d.parser.ParseBytes(line)
 	if err != nil {
 		return &d.event, fmt.Errorf("malformed line: %w", err)
@@ -90,114 +100,117 @@
 	if err != nil {
 		return &d.event, fmt.Errorf("malformed line: message name: %w", err)
 	}
-	kind, known := kinds[string(name)]
+	kind, known := messageKinds[string(name)]
 	if !known {
 		if len(d.fields) > 1 {
-			d.inst()
+			d.instanceID()
 		}
 		return &d.event, fmt.Errorf("unknown message %q", name)
 	}
-	d.event.Kind, d.what = kind, string(name)
-	if kind == Frame {
+	d.event.Kind, d.message = kind, string(name)
+	if kind == FrameStart {
 		d.event.Now = d.seconds(1, "at_time_s", true)
 		return &d.event, d.err
 	}
-	if kind != End {
-		d.inst()
-		d.body()
+	if kind != FrameEnd {
+		d.instanceID()
+		d.decodeBody()
 	}
 	return &d.event, d.err
 }
 
-func (d *Decoder) inst() {
-	d.event.Inst = d.whole(1, "dispatcher_id")
-	d.event.HasInst = d.err == nil
+// instanceID decodes the ID of the instance to which the message is addressed.
+func (d *Decoder) instanceID() {
+	d.event.InstanceID = d.integer(1, "dispatcher_id")
+	d.event.HasInstanceID = d.err == nil
 }
 
-func (d *Decoder) body() {
-	e := &d.event
-	switch e.Kind {
-	case Up:
-		d.up()
-	case Kill:
-		delete(d.names, e.Inst)
-	case Members:
-		d.members()
-	case Request:
-		d.request()
-	case First:
-		e.Job.ID = balance.JobID(d.whole(2, "ticket"))
-		e.Result.Worker = balance.WorkerID(d.whole(3, "runner"))
-		e.Result.Attempt = int(d.whole(5, "send_no"))
-	case Outcome:
-		d.outcome()
-	case Gone:
-		e.Job.ID = balance.JobID(d.whole(2, "ticket"))
-	case Timer:
-		e.Token = uint64(d.whole(2, "cookie"))
-	case Peer:
-		e.From = int(d.whole(2, "neighbour"))
-		d.bytes(3, "blob")
-	case Probed:
-		e.Result = balance.AttemptResult{Worker: balance.WorkerID(d.whole(2, "runner")), Status: d.status(3),
-			Elapsed: d.seconds(4, "duration_s", false), Report: d.report(5)}
-	case Note:
-		e.Job.ID = balance.JobID(d.whole(2, "ticket"))
-		e.Result.Attempt = int(d.whole(3, "send_no"))
-		e.Result.Worker = balance.WorkerID(d.whole(4, "runner"))
-		e.Note = balance.EventKind(d.whole(5, "kind"))
-		e.Amount = d.number(6, "amount", false)
+// decodeBody decodes the fields after the instance ID.
+func (d *Decoder) decodeBody() {
+	event := &d.event
+	switch event.Kind {
+	case InstanceStart:
+		d.decodeInstanceStart()
+	case InstanceStop:
+		delete(d.names, event.InstanceID)
+	case MembershipUpdate:
+		d.decodeMembers()
+	case JobSubmitted:
+		d.decodeJob()
+	case StreamStarted:
+		event.Job.ID = balance.JobID(d.integer(2, "ticket"))
+		event.Result.Worker = balance.WorkerID(d.integer(3, "runner"))
+		event.Result.Attempt = int(d.integer(5, "send_no"))
+	case AttemptDone:
+		d.decodeAttemptDone()
+	case ClientGone:
+		event.Job.ID = balance.JobID(d.integer(2, "ticket"))
+	case TimerFired:
+		event.TimerToken = uint64(d.integer(2, "cookie"))
+	case PeerMessage:
+		event.Peer = int(d.integer(2, "neighbour"))
+		d.decodeData(3, "blob")
+	case ProbeDone:
+		event.Result = balance.AttemptResult{Worker: balance.WorkerID(d.integer(2, "runner")), Status: d.decodeStatus(3),
+			Elapsed: d.seconds(4, "duration_s", false), Report: d.decodeLoadReport(5)}
+	case AttemptEvent:
+		event.Job.ID = balance.JobID(d.integer(2, "ticket"))
+		event.Result.Attempt = int(d.integer(3, "send_no"))
+		event.Result.Worker = balance.WorkerID(d.integer(4, "runner"))
+		event.AttemptEvent = balance.EventKind(d.integer(5, "kind"))
+		event.Amount = d.number(6, "amount", false)
 	}
 }
 
-func (d *Decoder) up() {
-	s, names, err := config.ParseSettings(d.at(3))
+func (d *Decoder) decodeInstanceStart() {
+	settings, names, err := config.ParseSettings(d.field(3))
 	if d.err == nil && err != nil {
-		d.err = fmt.Errorf("%s: facts: %w", d.what, err)
+		d.err = fmt.Errorf("%s: facts: %w", d.message, err)
 	}
 	if d.err != nil {
 		return
 	}
-	s.Seed = uint64(d.number(2, "random_seed", false))
-	if seed := d.at(2); seed != nil {
+	settings.Seed = uint64(d.number(2, "random_seed", false))
+	if seed := d.field(2); seed != nil {
 		if exact, err := seed.Uint64(); err == nil {
-			s.Seed = exact
+			settings.Seed = exact
 		}
 	}
 	if d.err == nil {
-		d.names[d.event.Inst] = names
-		d.event.Settings, d.event.Names = s, names
+		d.names[d.event.InstanceID] = names
+		d.event.Settings, d.event.Names = settings, names
 	}
 }
 
-func (d *Decoder) request() {
-	e, n := &d.event, d.names[d.event.Inst]
-	if n == nil {
+func (d *Decoder) decodeJob() {
+	event, names := &d.event, d.names[d.event.InstanceID]
+	if names == nil {
 		d.fail("dispatcher_id", "not up")
 		return
 	}
-	e.Job = balance.Job{ID: balance.JobID(d.whole(2, "ticket")), Class: d.name(3, "band", n.Class, true),
-		Tenant: d.name(4, "tenant", n.Tenant, false), Key: string(d.text(5, "subject", false)),
+	event.Job = balance.Job{ID: balance.JobID(d.integer(2, "ticket")), Class: d.index(3, "band", names.Class, true),
+		Tenant: d.index(4, "tenant", names.Tenant, false), Key: string(d.text(5, "subject", false)),
 		ClientTimeout: d.seconds(6, "patience_left_s", true), Slots: d.number(8, "slots", false),
 		Memory: d.number(9, "mem", false)}
 	if int(d.number(10, "attrs", false))&1 != 0 {
-		e.Job.ExpectedWork = d.seconds(7, "work_hint_s", false)
+		event.Job.ExpectedWork = d.seconds(7, "work_hint_s", false)
 	}
-	if e.Job.Slots <= 0 {
-		e.Job.Slots = 1
+	if event.Job.Slots <= 0 {
+		event.Job.Slots = 1
 	}
-	if e.Job.Memory < 0 {
+	if event.Job.Memory < 0 {
 		d.fail("mem", "negative")
 	}
 }
 
+// statuses maps the outcome of an attempt in a message to a status.
 var statuses = map[string]balance.Status{
 	"pass": balance.StatusOK, "fault": balance.StatusError, "no_room": balance.StatusFull,
 	"too_slow": balance.StatusTimeout, "no_route": balance.StatusUnreachable, "cut": balance.StatusReset,
 	"undone": balance.StatusCancelled, "stale_send": balance.StatusNotSent,
 }
 
-func (d *Decoder) status(i int) balance.Status {
+func (d *Decoder) decodeStatus(i int) balance.Status {
 	text := d.text(i, "ending", true)
 	s, ok := statuses[string(text)]
 	if !ok {
@@ -206,181 +219,93 @@
 	return s
 }
 
-func (d *Decoder) outcome() {
-	closed := d.at(8)
-	d.event.Result = balance.AttemptResult{Job: balance.JobID(d.whole(2, "ticket")), Status: d.status(3),
-		Attempt: int(d.whole(4, "send_no")), Worker: balance.WorkerID(d.whole(5, "runner")),
-		Elapsed: d.seconds(7, "duration_s", false), JobDone: closed != nil && closed.Type() == fastjson.TypeTrue,
-		Report: d.report(9)}
-	if closed != nil && closed.Type() != fastjson.TypeTrue && closed.Type() != fastjson.TypeFalse {
+func (d *Decoder) decodeAttemptDone() {
+	jobDone := d.field(8)
+	d.event.Result = balance.AttemptResult{Job: balance.JobID(d.integer(2, "ticket")), Status: d.decodeStatus(3),
+		Attempt: int(d.integer(4, "send_no")), Worker: balance.WorkerID(d.integer(5, "runner")),
+		Elapsed: d.seconds(7, "duration_s", false), JobDone: jobDone != nil && jobDone.Type() == fastjson.TypeTrue,
+		Report: d.decodeLoadReport(9)}
+	if jobDone != nil && jobDone.Type() != fastjson.TypeTrue && jobDone.Type() != fastjson.TypeFalse {
 		d.fail("settled", "not true or false")
 	}
 }
 
-func (d *Decoder) report(i int) balance.LoadReport {
-	r := balance.NoLoadReport()
-	v := d.at(i)
+func (d *Decoder) decodeLoadReport(i int) balance.LoadReport {
+	report := balance.NoLoadReport()
+	v := d.field(i)
 	if v == nil {
-		return r
+		return report
 	}
-	o, err := v.Object()
+	object, err := v.Object()
 	if err != nil {
 		d.fail("gauge", "not an object")
-		return r
+		return report
 	}
-	o.Visit(func(key []byte, v *fastjson.Value) {
-		x, err := v.Float64()
+	object.Visit(func(key []byte, v *fastjson.Value) {
+		number, err := v.Float64()
 		if err != nil {
 			return
 		}
 		switch string(key) {
 		case "inflight":
-			r.InFlight = x
+			report.InFlight = number
 		case "queue":
-			r.Queue = x
+			report.Queue = number
 		case "util":
-			r.Util = x
+			report.Util = number
 		case "eps":
-			r.ErrorRate = x
+			report.ErrorRate = number
 		case "x0":
-			r.FreeSlots = x
+			report.FreeSlots = number
 		case "x1":
-			r.FreeMemory = x
+			report.FreeMemory = number
 		}
 	})
-	return r
+	return report
 }
 
 var (
-	lists = map[string]balance.UpdateKind{"delta": balance.UpdateDelta, "full": balance.UpdateFull,
+	updateKinds = map[string]balance.UpdateKind{"delta": balance.UpdateDelta, "full": balance.UpdateFull,
 		"cached": balance.UpdateCached, "failed": balance.UpdateFailed}
-	conditions = map[string]balance.WorkerState{"SERVING": balance.Serving, "DRAINING": balance.Draining,
+	workerStates = map[string]balance.WorkerState{"SERVING": balance.Serving, "DRAINING": balance.Draining,
 		"DELETED": balance.Gone}
 )
 
-func (d *Decoder) members() {
-	e, n := &d.event, d.names[d.event.Inst]
+func (d *Decoder) decodeMembers() {
+	event, names := &d.event, d.names[d.event.InstanceID]
 	how := d.text(2, "how", true)
-	kind, ok := lists[string(how)]
+	kind, ok := updateKinds[string(how)]
 	if !ok {
 		d.fail("how", fmt.Sprintf("unknown value %q", how))
 	}
-	if n == nil {
+	if names == nil {
 		d.fail("dispatcher_id", "not up")
 	}
-	e.List = kind
-	v := d.at(4)
-	if v == nil || d.err != nil {
+	event.UpdateKind = kind
+	value := d.field(4)
+	if value == nil || d.err != nil {
 		return
 	}
-	items, err := v.Array()
+	items, err := value.Array()
 	if err != nil {
 		d.fail("items", "not an array")
 		return
 	}
-	outer := d.fields
+	messageFields := d.fields // the methods that read a field read from d.fields
 	for _, item := range items {
 		if d.fields, err = item.Array(); err != nil {
 			d.fail("items", "entry is not an array")
 			break
 		}
 		text := d.text(0, "condition", true)
-		c, ok := conditions[string(text)]
+		state, ok := workerStates[string(text)]
 		if !ok {
 			d.fail("condition", fmt.Sprintf("unknown value %q", text))
 		}
-		e.Members = append(e.Members, balance.Member{State: c, Weight: d.number(1, "heft", false),
-			Kind: d.name(2, "family_type", n.Kind, false), ID: balance.WorkerID(d.whole(3, "runner")),
+		event.Members = append(event.Members, balance.Member{State: state, Weight: d.number(1, "heft", false),
+			Kind: d.index(2, "family_type", names.Kind, false), ID: balance.WorkerID(d.integer(3, "runner")),
 			Cell: int(d.number(4, "cohort", false)), StartedAt: d.seconds(5, "ready_at_s", false),
-			Zone: d.name(6, "zone", n.Zone, false)})
+			Zone: d.index(6, "zone", names.Zone, false)})
 	}
-	d.fields = outer
-}
-
-func (d *Decoder) fail(field, why string) {
-	if d.err == nil {
-		d.err = fmt.Errorf("%s: %s: %s", d.what, field, why)
-	}
-}
-
-func (d *Decoder) at(i int) *fastjson.Value {
-	if i >= len(d.fields) || d.fields[i].Type() == fastjson.TypeNull {
-		return nil
-	}
-	return d.fields[i]
-}
-
-func (d *Decoder) number(i int, field string, must bool) float64 {
-	v := d.at(i)
-	if v == nil {
-		if must {
-			d.fail(field, "missing")
-		}
-		return 0
-	}
-	x, err := v.Float64()
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		d.fail(field, "not a number")
-		return 0
-	}
-	return x
-}
-
-func (d *Decoder) whole(i int, field string) int64 {
-	v := d.at(i)
-	if v == nil {
-		d.fail(field, "missing")
-		return 0
-	}
-	x, err := v.Int64()
-	if err != nil || x < 0 {
-		d.fail(field, "not a whole number")
-	}
-	return x
-}
-
-// seconds bounds what it reads to about a year, so that sums cannot overflow.
-func (d *Decoder) seconds(i int, field string, must bool) time.Duration {
-	x := d.number(i, field, must)
-	return time.Duration(math.Round(max(-3e7, min(x, 3e7))*1e6)) * time.Microsecond
-}
-
-func (d *Decoder) text(i int, field string, must bool) []byte {
-	v := d.at(i)
-	if v == nil {
-		if must {
-			d.fail(field, "missing")
-		}
-		return nil
-	}
-	if !must && v.Type() == fastjson.TypeNumber { // an absent name may be sent as 0
-		return nil
-	}
-	b, err := v.StringBytes()
-	if err != nil {
-		d.fail(field, "not text")
-	}
-	return b
-}
-
-func (d *Decoder) name(i int, field string, m map[string]int, must bool) int {
-	b := d.text(i, field, must)
-	if b == nil {
-		return -1
-	}
-	x, ok := m[string(b)]
-	if !ok {
-		d.fail(field, fmt.Sprintf("unknown name %q", b))
-		return -1
-	}
-	return x
-}
-
-func (d *Decoder) bytes(i int, field string) {
-	b := d.text(i, field, true)
-	out, err := base64.StdEncoding.AppendDecode(d.event.Data, b)
-	if err != nil {
-		d.fail(field, "not base64")
-	}
-	d.event.Data = out
+	d.fields = messageFields
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,40 +10,42 @@
 	"tinroute.example/tinroute/balance"
 )
 
-const up = `["up",3,18446744073709551615,{"classes":[{"name":"clip","repeat":"dedup","group":"cell",` +
+// instanceStart is the message that creates the instance of the tests.
+const instanceStart = `["up",3,18446744073709551615,{"classes":[{"name":"clip","repeat":"dedup","group":"cell",` +
 	`"memory_span_s":25,"target_s":0.3,"deadline_s":8,"value":5,"late_worth":0.2}],"zones":["a","b"],"zone":"b",` +
 	`"kinds":["big","small"],"accounts":[{"name":"t1","quota_rps":4}],"fleet_size":3,"position":1,` +
 	`"limits":{"max_attempts":4,"cancel":true,"dial_timeout_s":0.25},"domain":{"class_stretch":[1.75]},"new_key":{}}]`
 
-func ready(t testing.TB) *Decoder {
+// newStartedDecoder returns a decoder that has decoded instanceStart.
+func newStartedDecoder(t testing.TB) *Decoder {
 	t.Helper()
 	d := NewDecoder()
-	if _, err := d.Decode([]byte(up)); err != nil {
+	if _, err := d.Decode([]byte(instanceStart)); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func TestSettings(t *testing.T) {
+func TestDecodeSettings(t *testing.T) {
 	d := NewDecoder()
-	e, err := d.Decode([]byte(up))
+	e, err := d.Decode([]byte(instanceStart))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, c := e.Settings, e.Settings.Classes[0]
-	if s.Seed != 1<<64-1 || s.FleetSize != 3 || s.Position != 1 || s.Zone != 1 || s.MaxAttempts != 4 ||
-		s.ConnectTimeout != 250*time.Millisecond || s.Tenants[0].Quota != 4 {
-		t.Errorf("settings %+v", s)
+	settings, class := e.Settings, e.Settings.Classes[0]
+	if settings.Seed != 1<<64-1 || settings.FleetSize != 3 || settings.Position != 1 || settings.Zone != 1 || settings.MaxAttempts != 4 ||
+		settings.ConnectTimeout != 250*time.Millisecond || settings.Tenants[0].Quota != 4 {
+		t.Errorf("settings %+v", settings)
 	}
-	if c.Idempotency != balance.Deduplicated || c.DedupScope != balance.ScopeCell || c.DedupWindow != 25*time.Second || c.Stretch != 1.75 ||
-		c.WorkerKind != -1 {
-		t.Errorf("class %+v", c)
+	if class.Idempotency != balance.Deduplicated || class.DedupScope != balance.ScopeCell || class.DedupWindow != 25*time.Second || class.Stretch != 1.75 ||
+		class.WorkerKind != -1 {
+		t.Errorf("class %+v", class)
 	}
 }
 
-func TestEvents(t *testing.T) {
-	d := ready(t)
-	for _, c := range []struct {
+func TestDecodeEvents(t *testing.T) {
+	decoder := newStartedDecoder(t)
+	for _, testCase := range []struct {
 		line string
 		ok   func(*Event) bool
 	}{
@@ -64,24 +66,24 @@
 			return len(e.Members) == 1 && e.Members[0] == balance.Member{ID: 747, State: balance.Draining,
 				Weight: 1.5, Kind: 1, Zone: 0, Cell: 2, StartedAt: 6100 * time.Millisecond}
 		}},
-		{`["memo",3,2,"aGkgNw=="]`, func(e *Event) bool { return e.From == 2 && string(e.Data) == "hi 7" }},
-		{`["note",3,9,0,77,2,0.5]`, func(e *Event) bool { return e.Note == balance.EventProgress && e.Amount == 0.5 }},
-		{`["alarm",3,9223372036854775807]`, func(e *Event) bool { return e.Token == 1<<63-1 }},
+		{`["memo",3,2,"aGkgNw=="]`, func(e *Event) bool { return e.Peer == 2 && string(e.Data) == "hi 7" }},
+		{`["note",3,9,0,77,2,0.5]`, func(e *Event) bool { return e.AttemptEvent == balance.EventProgress && e.Amount == 0.5 }},
+		{`["alarm",3,9223372036854775807]`, func(e *Event) bool { return e.TimerToken == 1<<63-1 }},
 		{`["probe_done",3,747,"too_slow",0.25,null]`, func(e *Event) bool {
 			return e.Result.Status == balance.StatusTimeout && e.Result.Worker == 747
 		}},
 		{`["expired",3,9]`, func(e *Event) bool { return e.Job.ID == 9 }},
-		{`["accepted",3,9,77,0.1,1]`, func(e *Event) bool { return e.Kind == First && e.Result.Attempt == 1 }},
+		{`["accepted",3,9,77,0.1,1]`, func(e *Event) bool { return e.Kind == StreamStarted && e.Result.Attempt == 1 }},
 	} {
-		e, err := d.Decode([]byte(c.line))
-		if err != nil || !c.ok(e) {
-			t.Errorf("%s: %+v, %v", c.line, e, err)
+		e, err := decoder.Decode([]byte(testCase.line))
+		if err != nil || !testCase.ok(e) {
+			t.Errorf("%s: %+v, %v", testCase.line, e, err)
 		}
 	}
 }
 
-func TestBadLinesNameMessageAndField(t *testing.T) {
-	d := ready(t)
+func TestDecodeErrorNamesMessageAndField(t *testing.T) {
+	d := newStartedDecoder(t)
 	for line, want := range map[string]string{
 		`{`:                                   "malformed line",
 		`{"a":1}`:                             "malformed line",
@@ -105,7 +107,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
 	e := NewEncoder(w, 3)
@@ -144,13 +146,13 @@
 	}
 }
 
-// FuzzDecode: whatever the line, the decoder returns an event or an error.
+// FuzzDecode checks that Decode returns an event for an arbitrary line and does not panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`["ask",3,1,"clip",null,null,0.24,0.5,null,null,0]`))
 	f.Add([]byte(`["announce",3,"full",1,[["SERVING",1,"big",7,0,null,"a"]]]`))
-	f.Add([]byte(up))
+	f.Add([]byte(instanceStart))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		d := ready(t)
+		d := newStartedDecoder(t)
 		e, err := d.Decode(line)
 		if e == nil {
 			t.Fatal("no event", err)
