--- a/cmd/tinroute/fleet_test.go
+++ b/cmd/tinroute/fleet_test.go
@@ -91,7 +91,7 @@
 	output, err := members[0].Command("fleet", "budgets", "set", "jobs", "whole=20", "part.d1.weight=3").CombinedOutput()
 	require.NoError(t, err, "%s", output)
 	_, err = r.Until(ctx, func(o ledger.Overview) bool {
-		return o.Version == 2 && o.Budgets[0].Whole == 20_000 && o.Budgets[0].Granted <= 20_000
+		return o.Version == 2 && o.Budgets[0].Total == 20_000 && o.Budgets[0].Granted <= 20_000
 	})
 	require.NoError(t, err)
 	from := r.History.Now()
--- a/internal/cli/budgets.go
+++ b/internal/cli/budgets.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	set := ledger.Set{Version: overview.Version + 1}
+	set := ledger.SetBudgets{Version: overview.Version + 1}
 	found := false
 	for _, budget := range overview.Budgets {
 		if budget.Name == cmd.Budget {
@@ -69,7 +69,7 @@
 	if !found {
 		return fmt.Errorf("no budget %q in version %d", cmd.Budget, overview.Version)
 	}
-	err = propose(fleet.Voters[overview.Leader], ledger.Command{Fleet: overview.Fleet, Set: &set})
+	err = propose(fleet.Voters[overview.Leader], ledger.Command{Fleet: overview.Fleet, SetBudgets: &set})
 	if err != nil {
 		// The change may have been committed although the reply was lost.
 		if now, retryErr := queryLeader(fleet); retryErr != nil || now.Version != set.Version || !hasBudgets(now, set) {
@@ -81,7 +81,7 @@
 }
 
 // hasBudgets reports whether the overview holds exactly the budgets of the set.
-func hasBudgets(overview ledger.Overview, set ledger.Set) bool {
+func hasBudgets(overview ledger.Overview, set ledger.SetBudgets) bool {
 	var have []ledger.Budget
 	for _, b := range overview.Budgets {
 		have = append(have, b.Budget)
@@ -93,18 +93,18 @@
 
 // withChanges returns a copy of the budget with the new values applied.
 func withChanges(budget ledger.Budget, change map[string]float64) (ledger.Budget, error) {
-	budget.Parts = maps.Clone(budget.Parts)
+	budget.Rules = maps.Clone(budget.Rules)
 	for _, key := range slices.Sorted(maps.Keys(change)) {
 		value := change[key]
-		if value < 0 || value > float64(share.Most)/1000 || math.IsNaN(value) {
-			return budget, fmt.Errorf("%s: %v is not from 0 to %d", key, value, share.Most/1000)
+		if value < 0 || value > float64(share.MaxAmount)/1000 || math.IsNaN(value) {
+			return budget, fmt.Errorf("%s: %v is not from 0 to %d", key, value, share.MaxAmount/1000)
 		}
 		milli := int64(math.Round(value * 1000))
 		field, isPart := strings.CutPrefix(key, "part.")
 		dot := strings.LastIndex(field, ".")
 		switch {
 		case key == "whole":
-			budget.Whole = milli
+			budget.Total = milli
 			continue
 		case key == "burst":
 			budget.Burst = milli
@@ -113,7 +113,7 @@
 			return budget, fmt.Errorf("%s: neither whole, burst nor part.NAME.weight, .floor, .ceiling", key)
 		}
 		name, field := field[:dot], field[dot+1:]
-		part := budget.Parts[name]
+		part := budget.Rules[name]
 		switch field {
 		case "weight":
 			if value != math.Trunc(value) || value < 1 {
@@ -127,10 +127,10 @@
 		default:
 			return budget, fmt.Errorf("%s: neither weight, floor nor ceiling", key)
 		}
-		if budget.Parts == nil {
-			budget.Parts = map[string]ledger.Part{}
+		if budget.Rules == nil {
+			budget.Rules = map[string]ledger.AllocationRule{}
 		}
-		budget.Parts[name] = part
+		budget.Rules[name] = part
 	}
 	return budget, nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -237,7 +237,7 @@
 		}
 		printf("fleet %s: %s %s; %d voters, leases of %v", fleet.Ledger.Fleet, cfg.Name, role, len(fleet.Voters), fleet.Terms.Lease)
 		for _, b := range fleet.Budgets {
-			printf("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, fleet.BudgetVersion, float64(b.Whole)/1000, float64(b.Burst)/1000)
+			printf("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, fleet.BudgetVersion, float64(b.Total)/1000, float64(b.Burst)/1000)
 		}
 	} else {
 		printf("fleet: off")
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -110,7 +110,7 @@
 	defer func() { _ = conn.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), voterTimeout)
 	defer cancel()
-	return conn.Look(ctx)
+	return conn.Overview(ctx)
 }
 
 // printBudgets prints the budgets and their holders as a table.
@@ -118,10 +118,10 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "budget\tholder\tincarnation\tgranted\tdemand\t")
 	for _, budget := range overview.Budgets {
-		fmt.Fprintf(table, "%s\t\t\t%g of %g\t\t\n", budget.Name, float64(budget.Granted)/1000, float64(budget.Whole)/1000)
+		fmt.Fprintf(table, "%s\t\t\t%g of %g\t\t\n", budget.Name, float64(budget.Granted)/1000, float64(budget.Total)/1000)
 		for _, holder := range budget.Holders {
 			lapsed := ""
-			if holder.Lapsed {
+			if holder.Expired {
 				lapsed = "lapsed"
 			}
 			fmt.Fprintf(table, "\t%s\t%d\t%g\t%g\t%s\n", holder.Name, holder.Incarnation, float64(holder.Granted)/1000, float64(holder.Demand)/1000, lapsed)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -28,7 +28,7 @@
 // Fleet is the content of the fleet file: the fleet that a dispatcher belongs to.
 type Fleet struct {
 	Ledger            ledger.Settings
-	Terms             ledger.Terms
+	Terms             ledger.Timing
 	Voters            map[string]Voter // by name, with addresses as seen from this host; a voter listens at its own
 	VoterDir          string           // directory of this process's Raft log; empty if it does not vote
 	Bootstrap         bool             // whether the Raft log directory may be empty because the fleet is new
@@ -123,12 +123,12 @@
 	}
 	check := validator{}
 	fleet := &Fleet{Ledger: ledger.Settings{Fleet: file.Fleet, Generation: uint64(check.count("generation", file.Generation, 1, math.MaxInt64)),
-		MostMembers: int(check.count("members", file.Members, defaultMaxMembers, 4096))},
-		Terms:  ledger.Terms{Lease: check.duration("lease", file.Lease, defaultLease), Linger: check.duration("linger", file.Linger, longestDeadline), Drift: defaultClockDrift},
+		MaxMembers: int(check.count("members", file.Members, defaultMaxMembers, 4096))},
+		Terms:  ledger.Timing{Lease: check.duration("lease", file.Lease, defaultLease), GracePeriod: check.duration("linger", file.Linger, longestDeadline), MaxDrift: defaultClockDrift},
 		Voters: file.Voters, HeartbeatInterval: check.duration("voter.pace", file.Voter.Pace, defaultHeartbeatInterval),
 		BudgetVersion: uint64(check.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
 	if file.Drift != nil {
-		fleet.Terms.Drift = *file.Drift
+		fleet.Terms.MaxDrift = *file.Drift
 	}
 	switch {
 	case file.Fleet == "":
@@ -137,12 +137,12 @@
 		check.fail("fleet: this dispatcher has no name")
 	case len(file.Voters) == 0:
 		check.fail("voters: no voter is listed")
-	case fleet.Terms.Drift < 0 || fleet.Terms.Drift > maxClockDrift:
-		check.fail("drift: %v is not from 0 to %v", fleet.Terms.Drift, maxClockDrift)
+	case fleet.Terms.MaxDrift < 0 || fleet.Terms.MaxDrift > maxClockDrift:
+		check.fail("drift: %v is not from 0 to %v", fleet.Terms.MaxDrift, maxClockDrift)
 	case fleet.Terms.Lease < minLease:
 		check.fail("lease: %v is under %v", fleet.Terms.Lease, minLease)
-	case fleet.Terms.Linger < longestDeadline:
-		check.fail("linger: %v is under the longest deadline, %v", fleet.Terms.Linger, longestDeadline)
+	case fleet.Terms.GracePeriod < longestDeadline:
+		check.fail("linger: %v is under the longest deadline, %v", fleet.Terms.GracePeriod, longestDeadline)
 	case file.Voter.Dir != "" && file.Voters[name] == Voter{}:
 		check.fail("voter.dir: %s is not among the voters", name)
 	case file.Voter.Dir == "" && file.Voter.Begin:
@@ -155,37 +155,37 @@
 	}
 	fleet.VoterDir, fleet.Bootstrap = file.Voter.Dir, file.Voter.Begin
 	toMilli := func(key string, x float64) int64 {
-		if x < 0 || x > float64(share.Most)/1000 || math.IsNaN(x) {
-			check.fail("%s: %v is not from 0 to %d", key, x, share.Most/1000)
+		if x < 0 || x > float64(share.MaxAmount)/1000 || math.IsNaN(x) {
+			check.fail("%s: %v is not from 0 to %d", key, x, share.MaxAmount/1000)
 			return 0
 		}
 		return int64(math.Round(x * 1000))
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Budget)) {
 		entry, key := file.Budget[name], "budget."+name
-		budget := ledger.Budget{Name: name, Kind: ledger.Rate, Whole: toMilli(key+".whole", entry.Whole), Burst: toMilli(key+".burst", entry.Burst),
-			Lend: entry.Lend, Parts: map[string]ledger.Part{}}
-		if minBurst := int64(fleet.Ledger.MostMembers) * 1000; budget.Burst < minBurst && entry.Counts != "connections" {
-			check.fail("%s.burst: %v is under the number of members, %d", key, entry.Burst, fleet.Ledger.MostMembers)
+		budget := ledger.Budget{Name: name, Kind: ledger.KindRate, Total: toMilli(key+".whole", entry.Whole), Burst: toMilli(key+".burst", entry.Burst),
+			LendFloors: entry.Lend, Rules: map[string]ledger.AllocationRule{}}
+		if minBurst := int64(fleet.Ledger.MaxMembers) * 1000; budget.Burst < minBurst && entry.Counts != "connections" {
+			check.fail("%s.burst: %v is under the number of members, %d", key, entry.Burst, fleet.Ledger.MaxMembers)
 		}
 		for member, p := range entry.Part {
 			partKey := key + ".part." + member
 			if p.Weight < 0 || p.Weight > 1000 {
 				check.fail("%s.weight: %d is not from 0 to 1000", partKey, p.Weight)
 			}
-			budget.Parts[member] = ledger.Part{Weight: p.Weight, Floor: toMilli(partKey+".floor", p.Floor), Ceiling: toMilli(partKey+".ceiling", p.Ceiling)}
+			budget.Rules[member] = ledger.AllocationRule{Weight: p.Weight, Floor: toMilli(partKey+".floor", p.Floor), Ceiling: toMilli(partKey+".ceiling", p.Ceiling)}
 		}
 		if entry.Counts == "connections" {
-			budget.Kind, budget.Burst = ledger.Held, 0
+			budget.Kind, budget.Burst = ledger.KindConcurrency, 0
 			switch {
 			case entry.Tenant != "" || entry.Burst != 0:
 				check.fail("%s: a budget of connections cannot have a tenant or a burst", key)
 			case fleet.ConnectionBudget != "":
 				check.fail("%s.counts: budget %s already counts connections", key, fleet.ConnectionBudget)
-			case budget.Whole%1000 != 0:
+			case budget.Total%1000 != 0:
 				check.fail("%s.whole: %v is not a whole number", key, entry.Whole)
-			case fleet.Terms.Linger < settings.ConnIdleTimeout: // idle connections of a stopped process stay open until the worker closes them
-				check.fail("linger: %v is under the time after which workers close idle connections, %v", fleet.Terms.Linger, settings.ConnIdleTimeout)
+			case fleet.Terms.GracePeriod < settings.ConnIdleTimeout: // idle connections of a stopped process stay open until the worker closes them
+				check.fail("linger: %v is under the time after which workers close idle connections, %v", fleet.Terms.GracePeriod, settings.ConnIdleTimeout)
 			}
 			fleet.ConnectionBudget = name
 		}
--- a/internal/daemon/components.go
+++ b/internal/daemon/components.go
@@ -108,7 +108,7 @@
 	if inst.Fleet == nil {
 		return nil
 	}
-	if inst.fleet, err = fleet.Start(fleet.Options{File: inst.Fleet, Name: inst.Config.Name, Log: inst.Log.With("part", "fleet"), Listen: inst.Listen}); err != nil {
+	if inst.fleet, err = fleet.Start(fleet.Options{Config: inst.Fleet, Name: inst.Config.Name, Log: inst.Log.With("part", "fleet"), Listen: inst.Listen}); err != nil {
 		return err
 	}
 	inst.onClose(func() {
@@ -118,7 +118,7 @@
 		}
 	})
 	if inst.exporter != nil {
-		return inst.exporter.RegisterFleetGauges(inst.fleet.Figures)
+		return inst.exporter.RegisterFleetGauges(inst.fleet.Measurements)
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 	}
 	workers := platform.NewWorkers(core, inst.Log, inst.Dial, inst.sockets-inst.clientSockets)
 	if inst.fleet != nil {
-		if connections := inst.fleet.Connections(); connections != nil {
+		if connections := inst.fleet.ConnLimit(); connections != nil {
 			workers.SetConnLimit(connections)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,7 +65,7 @@
 
 	overrides *override.Set // detached workers; nil without an admin server
 	cores     []*dispatch.Core
-	fleet     *fleet.Part
+	fleet     *fleet.Node
 }
 
 // Files are the settings files that a reload reads again.
@@ -258,7 +258,7 @@
 			gearmanDiscovery.SetAddr(files.Gearman.Discovery)
 		}
 		if d.fleet != nil && files.Fleet != nil {
-			d.fleet.Reload(files.Fleet)
+			d.fleet.ReloadBudgets(files.Fleet)
 		}
 	}
 }
--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -1,11 +1,13 @@
-// Package budget is a holder's side of a fleet's budgets: what one dispatcher may admit of the share
-// that it was granted, decided where it stands, with no call on the way of a job. It does no I/O and
-// knows only the clock it is handed, which must neither step nor stand still in a suspend.
+// Package budget enforces one dispatcher's shares of the fleet's budgets. Admission is decided locally,
+// without a remote call per job. The package does no I/O and takes the time as an argument; that clock
+// must not step, and must keep counting while the machine is suspended.
 //
-// A share is good until its lease ends, counted from before it was asked for and shortened by the
-// drift allowed between clocks, so that it has ended here before it has for the ledger. Each use
-// looks at the lease. After it a holder has its floor for a stated time, then nothing. Amounts are
-// in thousandths: of a unit a second for rates, of a piece for what is held.
+// A share is valid until its lease ends. The lease starts before the renewal is sent and is shortened by
+// the maximum clock drift, so that it ends here before the ledger considers it expired. Every admission
+// checks the lease. After the lease a holder may use its floor for the grace period, then nothing.
+//
+// Amounts are in thousandths: of a unit per second for rates, and of a slot (one item in use) for
+// concurrency.
 package budget
 
 import (
@@ -13,209 +15,216 @@
 	"time"
 )
 
-// Milli is a unit of a budget's amounts: one job, one piece, one second of work.
-const Milli = 1000
+// Unit is one whole unit in the thousandths that amounts are counted in: one job, one slot, or one
+// second of work.
+const Unit = 1000
 
-// Grant is what a holder was told of one budget.
+// Grant is a holder's granted share of one budget. Times are by the holder's clock.
 type Grant struct {
-	Share int64         // may be used until Ends
-	Floor int64         // may be used after it, until Until
-	Burst int64         // of Share, for rates: the most saved up
-	Ends  time.Duration // by the holder's clock
-	Until time.Duration
+	Share    int64         // usable until LeaseEnd
+	Floor    int64         // usable from LeaseEnd until FloorEnd
+	Burst    int64         // for rates: the most tokens that may accumulate
+	LeaseEnd time.Duration // end of the lease
+	FloorEnd time.Duration // end of the grace period after the lease
 }
 
-// at is the amount in force at an instant.
-func (g *Grant) at(now time.Duration) int64 {
+// amountAt returns the amount that may be used at time now.
+func (g *Grant) amountAt(now time.Duration) int64 {
 	switch {
-	case now < g.Ends:
+	case now < g.LeaseEnd:
 		return g.Share
-	case now < g.Until:
+	case now < g.FloorEnd:
 		return min(g.Floor, g.Share)
 	}
 	return 0
 }
 
-// burst is how much may be saved up at an instant.
-func (g *Grant) burst(now time.Duration) int64 {
-	if now < g.Ends {
+// burstAt returns how many tokens may accumulate at time now.
+func (g *Grant) burstAt(now time.Duration) int64 {
+	if now < g.LeaseEnd {
 		return g.Burst
 	}
-	if now < g.Until && g.Share > 0 {
-		return min(g.Burst, max(Milli, g.Burst*min(g.Floor, g.Share)/g.Share))
+	if now < g.FloorEnd && g.Share > 0 {
+		return min(g.Burst, max(Unit, g.Burst*min(g.Floor, g.Share)/g.Share))
 	}
 	return 0
 }
 
-// Rate is a budget by time: units a second with a burst, or seconds of work a second. It starts with
-// nothing saved up, since what it could have saved may have been spent by its predecessor.
-type Rate struct {
-	grant  Grant
-	slow   int64 // millionths by which a clock may run fast: so much less is saved up
-	saved  int64 // thousandths of Milli
-	at     time.Duration
-	asked  int64 // Milli asked for since the last demand was read
-	times  int64 // in how many calls
-	since  time.Duration
-	demand float64
-
-	used, denied int64 // Milli since the start
+// RateLimiter is a token bucket over a granted rate, in jobs or seconds of work per second. It starts
+// empty: a previous process of the same name may already have spent the tokens.
+type RateLimiter struct {
+	grant     Grant
+	driftPPM  int64 // how much a clock may run fast, in millionths; accrual is reduced by it
+	saved     int64 // available tokens, in units of 1/savedScale of a thousandth
+	accruedAt time.Duration
+	requested int64 // thousandths requested since the last SampleDemand
+	requests  int64 // number of requests since the last SampleDemand
+	sampledAt time.Duration
+	demand    float64 // estimated demand, in thousandths per second
+
+	used, denied int64 // thousandths since the start
 }
 
-// Counts are how much was admitted and how much denied since the start, in Milli.
-func (r *Rate) Counts() (used, denied int64) { return r.used, r.denied }
+// Counts returns how much was admitted and denied since the start, in thousandths.
+func (r *RateLimiter) Counts() (used, denied int64) { return r.used, r.denied }
 
-// fine is how much finer than Milli savings are kept, so that short waits are not rounded away.
-const fine = 1000
+// savedScale is the precision of saved tokens relative to thousandths, so that accrual over short
+// intervals is not rounded down to zero.
+const savedScale = 1000
 
-// Set takes a grant. What was saved up beyond its burst is gone at once.
-func (r *Rate) Set(now time.Duration, g Grant) {
+// SetGrant replaces the grant. Tokens above the new burst are dropped immediately.
+func (r *RateLimiter) SetGrant(now time.Duration, g Grant) {
 	r.accrue(now)
 	r.grant = g
-	r.saved = min(r.saved, g.burst(now)*fine)
+	r.saved = min(r.saved, g.burstAt(now)*savedScale)
 }
 
-// accrue saves up to now, each stretch by what was in force in it.
-func (r *Rate) accrue(now time.Duration) {
-	for r.at < now {
-		to := now
-		for _, edge := range [...]time.Duration{r.grant.Ends, r.grant.Until} {
-			if r.at < edge && edge < to {
-				to = edge
+// accrue adds tokens up to now. Each interval between lease boundaries uses the rate and burst that
+// applied in it.
+func (r *RateLimiter) accrue(now time.Duration) {
+	for r.accruedAt < now {
+		end := now
+		for _, boundary := range [...]time.Duration{r.grant.LeaseEnd, r.grant.FloorEnd} {
+			if r.accruedAt < boundary && boundary < end {
+				end = boundary
 			}
 		}
-		most := r.grant.burst(r.at) * fine
-		if rate := r.grant.at(r.at); rate > 0 && r.saved < most {
-			// rate x time could overflow after a long pause; the burst is full long before.
-			us := int64((to - r.at) / time.Microsecond)
-			if us/1000 > 2*(most/rate)+1 {
-				r.saved = most
+		limit := r.grant.burstAt(r.accruedAt) * savedScale
+		if rate := r.grant.amountAt(r.accruedAt); rate > 0 && r.saved < limit {
+			// rate * time could overflow after a long pause; the bucket is full long before that.
+			us := int64((end - r.accruedAt) / time.Microsecond)
+			if us/1000 > 2*(limit/rate)+1 {
+				r.saved = limit
 			} else {
-				gain := rate * us / (1_000_000 / fine)
+				gain := rate * us / (1_000_000 / savedScale)
 				if gain < 1<<40 {
-					gain -= (gain*r.slow + 999_999) / 1_000_000
+					gain -= (gain*r.driftPPM + 999_999) / 1_000_000
 				} else { // the product could overflow
-					gain -= gain / 1_000_000 * r.slow
+					gain -= gain / 1_000_000 * r.driftPPM
 				}
 				r.saved += gain
 			}
 		}
-		r.at = to
-		r.saved = min(r.saved, r.grant.burst(to)*fine)
+		r.accruedAt = end
+		r.saved = min(r.saved, r.grant.burstAt(end)*savedScale)
 	}
 }
 
-// Take admits n thousandths, or tells how long until they could be, by what is in force now; never
-// is true where that is not in sight.
-func (r *Rate) Take(now time.Duration, n int64) (ok bool, wait time.Duration, never bool) {
-	// Step by whole microseconds, or many short steps would each lose a part of one.
+// Take takes amount thousandths if they are available. Otherwise it returns how long until they would be
+// under the current grant; unavailable is true if the current grant can never admit them.
+func (r *RateLimiter) Take(now time.Duration, amount int64) (ok bool, wait time.Duration, unavailable bool) {
+	// Accrue in whole microseconds; otherwise frequent calls would each lose a fraction of one.
 	r.accrue(now - now%time.Microsecond)
-	r.asked += n
-	r.times++
-	r.denied += n
-	if need := n*fine - r.saved; need > 0 {
-		rate := r.grant.at(now)
-		if rate <= 0 || n > r.grant.burst(now) {
+	r.requested += amount
+	r.requests++
+	r.denied += amount
+	if missing := amount*savedScale - r.saved; missing > 0 {
+		rate := r.grant.amountAt(now)
+		if rate <= 0 || amount > r.grant.burstAt(now) {
 			return false, 0, true
 		}
-		return false, time.Duration(need) * (time.Second / fine) / time.Duration(rate), false
+		return false, time.Duration(missing) * (time.Second / savedScale) / time.Duration(rate), false
 	}
-	if r.grant.at(now) <= 0 {
+	if r.grant.amountAt(now) <= 0 {
 		return false, 0, true
 	}
-	r.saved -= n * fine
-	r.denied -= n
-	r.used += n
+	r.saved -= amount * savedScale
+	r.denied -= amount
+	r.used += amount
 	return true, 0, false
 }
 
-// Burst is the most that may be saved up from now on without another grant.
-func (r *Rate) Burst(now time.Duration) int64 { return r.grant.burst(now) }
-
-// Holding is the most that may be used from now on without another grant.
-func (r *Rate) Holding(now time.Duration) int64 { return r.grant.at(now) }
-
-// Demand is what was asked for, admitted or not, in Milli a second. Between two calls a few arrive by chance
-// or none, and shares that follow chance are idle where they are and missing where they were: so the estimate
-// moves by a quarter of the way, but goes all the way at once where chance alone would hardly explain what came.
-func (r *Rate) Demand(now time.Duration) int64 {
-	if d := (now - r.since).Seconds(); d > 0 {
-		came := float64(r.asked)
-		if r.Moved(now) {
-			r.demand = came / d
+// MaxBurst returns the most tokens that may accumulate from now on without another grant.
+func (r *RateLimiter) MaxBurst(now time.Duration) int64 { return r.grant.burstAt(now) }
+
+// MaxUse returns the highest rate that may be used from now on without another grant.
+func (r *RateLimiter) MaxUse(now time.Duration) int64 { return r.grant.amountAt(now) }
+
+// SampleDemand updates and returns the estimated demand, admitted or not, in thousandths per second.
+// The count between two calls is noisy, and shares that follow the noise are idle at one dispatcher and
+// missing at another. So the estimate is a smoothed average that moves a quarter of the way to the new
+// sample, except that it takes the sample's value at once if DemandChanged reports a significant change.
+func (r *RateLimiter) SampleDemand(now time.Duration) int64 {
+	if elapsed := (now - r.sampledAt).Seconds(); elapsed > 0 {
+		requested := float64(r.requested)
+		if r.DemandChanged(now) {
+			r.demand = requested / elapsed
 		} else {
-			r.demand += (came/d - r.demand) / 4
+			r.demand += (requested/elapsed - r.demand) / 4
 		}
-		r.asked, r.times, r.since = 0, 0, now
+		r.requested, r.requests, r.sampledAt = 0, 0, now
 	}
 	return int64(r.demand)
 }
 
-// Moved tells whether the demand is surely another one than the last call of Demand told.
-func (r *Rate) Moved(now time.Duration) bool {
-	came, expected, unit := float64(r.asked), r.demand*(now-r.since).Seconds(), float64(Milli)
-	if r.times > 0 {
-		unit = came / float64(r.times)
+// DemandChanged reports whether the requests since the last SampleDemand differ from its estimate by more
+// than chance explains.
+func (r *RateLimiter) DemandChanged(now time.Duration) bool {
+	requested, expected, meanRequest := float64(r.requested), r.demand*(now-r.sampledAt).Seconds(), float64(Unit)
+	if r.requests > 0 {
+		meanRequest = requested / float64(r.requests)
 	}
-	return math.Abs(came-expected) > surely*math.Sqrt(max(expected, unit)*unit)
+	return math.Abs(requested-expected) > demandSigmas*math.Sqrt(max(expected, meanRequest)*meanRequest)
 }
 
-// surely is how many standard deviations of a Poisson count no chance is taken for.
-const surely = 3
+// demandSigmas is the deviation from the expected Poisson count, in standard deviations, that is taken
+// for a change of demand.
+const demandSigmas = 3
 
-// Ratio is a budget by count: each unit earned allows a part of another kind's, as repeats by first tries.
-// It needs no ledger: what every dispatcher keeps within its part, all together do.
-type Ratio struct {
-	Part  int64 // thousandths that one unit earns
-	Most  int64 // the most saved up, in Milli
-	saved int64
+// RatioLimiter limits one kind of event to a fraction of another, such as repeats to a fraction of first
+// sends. It needs no ledger: if every dispatcher keeps to the ratio, so does the fleet.
+type RatioLimiter struct {
+	ShareMilli    int64 // thousandths of a token that one Earn adds
+	MaxSavedMilli int64 // the most that may accumulate, in thousandths
+	saved         int64
 }
 
-// Earn counts one unit.
-func (r *Ratio) Earn() { r.saved = min(r.saved+r.Part, r.Most) }
+// Earn adds ShareMilli to the saved tokens, up to MaxSavedMilli.
+func (r *RatioLimiter) Earn() { r.saved = min(r.saved+r.ShareMilli, r.MaxSavedMilli) }
 
-// Take admits one.
-func (r *Ratio) Take() bool {
-	if r.saved < Milli {
+// Take takes one whole token and reports whether there was one.
+func (r *RatioLimiter) Take() bool {
+	if r.saved < Unit {
 		return false
 	}
-	r.saved -= Milli
+	r.saved -= Unit
 	return true
 }
 
-// Held is a budget of what is held at once, in whole pieces.
-type Held struct {
+// Semaphore limits how many slots are in use at once. Amounts are whole slots, in thousandths.
+type Semaphore struct {
 	grant Grant
-	held  int64
-	peak  int64 // of held and turned away, since the last demand was read
+	inUse int64
+	peak  int64 // highest amount in use or requested since the last SampleDemand
 }
 
-// Set takes a grant. Pieces held beyond it stay until they are given back; none is added.
-func (h *Held) Set(_ time.Duration, g Grant) { h.grant = g }
+// SetGrant replaces the grant. Slots in use above it stay in use until they are released, and no more are
+// admitted.
+func (s *Semaphore) SetGrant(_ time.Duration, g Grant) { s.grant = g }
 
-// Take admits one piece.
-func (h *Held) Take(now time.Duration) bool {
-	h.peak = max(h.peak, h.held+Milli)
-	if h.held+Milli > h.grant.at(now) {
+// TryAcquire takes one slot and reports whether the grant allowed it.
+func (s *Semaphore) TryAcquire(now time.Duration) bool {
+	s.peak = max(s.peak, s.inUse+Unit)
+	if s.inUse+Unit > s.grant.amountAt(now) {
 		return false
 	}
-	h.held += Milli
+	s.inUse += Unit
 	return true
 }
 
-// Give gives one piece back. What was never taken is an error of the caller's, and counts for nothing.
-func (h *Held) Give() { h.held = max(0, h.held-Milli) }
+// Release returns one slot. A release without a matching acquire is a bug of the caller and is ignored.
+func (s *Semaphore) Release() { s.inUse = max(0, s.inUse-Unit) }
 
-// Held is how much is held now.
-func (h *Held) Held() int64 { return h.held }
+// InUse returns the amount in use.
+func (s *Semaphore) InUse() int64 { return s.inUse }
 
-// Holding is the most that may be used from now on without another grant: what is held goes on being
-// used whatever became of the lease.
-func (h *Held) Holding(now time.Duration) int64 { return max(h.held, h.grant.at(now)) }
+// MaxUse returns the most that may be in use from now on without another grant. Slots in use count even
+// after the lease has ended.
+func (s *Semaphore) MaxUse(now time.Duration) int64 { return max(s.inUse, s.grant.amountAt(now)) }
 
-// Demand is the most that was held or wanted since the last call.
-func (h *Held) Demand(time.Duration) int64 {
-	d := h.peak
-	h.peak = h.held
-	return d
+// SampleDemand returns the highest amount in use or requested since the last call.
+func (s *Semaphore) SampleDemand(time.Duration) int64 {
+	demand := s.peak
+	s.peak = s.inUse
+	return demand
 }
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -7,139 +7,139 @@
 	"tinroute.example/tinroute/internal/fleet/ledger"
 )
 
-// Holder is one process's dealings with the ledger: it joins, asks, and takes answers in. It sends
-// nothing itself: Next is what to send, Answered what came back.
+// Holder is the protocol state of one member process: it joins the ledger, renews its lease and applies
+// the answers. It sends nothing itself; NextCommand returns what to send and HandleAnswer takes the reply.
 type Holder struct {
-	fleet, name string
-	nonce       uint64
-	terms       ledger.Terms
-	incarnation uint64
-	seq         uint64
-	asked       time.Duration // when the last ask was made
-	rates       map[string]*Rate
-	helds       map[string]pieces
-	version     uint64
-	ends        time.Duration
-	more        bool // the last answer said that more is due once others have given it up
+	fleet, name   string
+	nonce         uint64
+	timing        ledger.Timing
+	incarnation   uint64
+	seq           uint64
+	renewedAt     time.Duration // when the last renewal was made
+	rateLimiters  map[string]*RateLimiter
+	semaphores    map[string]semaphore
+	budgetVersion uint64
+	leaseEnd      time.Duration
+	morePending   bool // the last answer said that a larger share is pending until others reduce theirs
 }
 
-// NewHolder returns a holder that has joined nothing yet. The nonce tells this process from an earlier
-// or another one of its name: it has to be drawn anew for each.
-func NewHolder(fleet, name string, nonce uint64, t ledger.Terms) *Holder {
-	return &Holder{fleet: fleet, name: name, nonce: nonce, terms: t, rates: map[string]*Rate{}, helds: map[string]pieces{}}
+// NewHolder returns a holder that has not joined yet. The nonce distinguishes this process from earlier
+// or other ones of the same name and must be drawn anew for each process.
+func NewHolder(fleet, name string, nonce uint64, timing ledger.Timing) *Holder {
+	return &Holder{fleet: fleet, name: name, nonce: nonce, timing: timing, rateLimiters: map[string]*RateLimiter{}, semaphores: map[string]semaphore{}}
 }
 
-// Rate returns the rate of that name, which admits nothing before a grant of it has come.
-func (h *Holder) Rate(name string) *Rate {
-	r := h.rates[name]
+// RateLimiter returns the rate limiter of the named budget. It admits nothing until a share is granted.
+func (h *Holder) RateLimiter(name string) *RateLimiter {
+	r := h.rateLimiters[name]
 	if r == nil {
-		r = &Rate{slow: int64(h.terms.Drift * 1e6)}
-		h.rates[name] = r
+		r = &RateLimiter{driftPPM: int64(h.timing.MaxDrift * 1e6)}
+		h.rateLimiters[name] = r
 	}
 	return r
 }
 
-// Held returns the budget of pieces of that name, which admits nothing before a grant of it has come.
-func (h *Holder) Held(name string) *Held {
-	x, ok := h.helds[name].(*Held)
+// Semaphore returns the semaphore of the named budget. It admits nothing until a share is granted.
+func (h *Holder) Semaphore(name string) *Semaphore {
+	s, ok := h.semaphores[name].(*Semaphore)
 	if !ok {
-		x = &Held{}
-		h.helds[name] = x
+		s = &Semaphore{}
+		h.semaphores[name] = s
 	}
-	return x
+	return s
 }
 
-// Each returns the budget of pieces at each place of that name, which admits nothing before a grant of it has
-// come.
-func (h *Holder) Each(name string) *Each {
-	x, ok := h.helds[name].(*Each)
+// KeyedSemaphore returns the keyed semaphore of the named budget. It admits nothing until a share is
+// granted.
+func (h *Holder) KeyedSemaphore(name string) *KeyedSemaphore {
+	s, ok := h.semaphores[name].(*KeyedSemaphore)
 	if !ok {
-		x = &Each{}
-		h.helds[name] = x
+		s = &KeyedSemaphore{}
+		h.semaphores[name] = s
 	}
-	return x
+	return s
 }
 
-// pieces is a budget of what is held at once.
-type pieces interface {
-	Set(now time.Duration, g Grant)
-	Holding(now time.Duration) int64
-	Demand(now time.Duration) int64
+// semaphore is the part of Semaphore and KeyedSemaphore that renewals use.
+type semaphore interface {
+	SetGrant(now time.Duration, g Grant)
+	MaxUse(now time.Duration) int64
+	SampleDemand(now time.Duration) int64
 }
 
-// Ends is when the lease ends; Version is that of the budgets last heard of; Incarnation is 0 before
-// the fleet has been joined.
-func (h *Holder) Ends() time.Duration { return h.ends }
+// LeaseEnd returns when the lease ends, by the holder's clock.
+func (h *Holder) LeaseEnd() time.Duration { return h.leaseEnd }
 
-// Version is the number of the budgets last heard of.
-func (h *Holder) Version() uint64 { return h.version }
+// BudgetVersion returns the version of the budgets in the last answer.
+func (h *Holder) BudgetVersion() uint64 { return h.budgetVersion }
 
-// Incarnation is this process's, 0 before it has joined.
+// Incarnation returns the incarnation that the ledger assigned to this process, 0 before it has joined.
 func (h *Holder) Incarnation() uint64 { return h.incarnation }
 
-// Early tells whether to ask before the usual time: the demand has moved, or more is due than was granted.
-func (h *Holder) Early(now time.Duration) bool {
-	if h.incarnation == 0 || h.more {
-		return h.more
+// RenewEarly reports whether to renew before the usual time, because the demand has changed or a larger
+// share is pending.
+func (h *Holder) RenewEarly(now time.Duration) bool {
+	if h.incarnation == 0 || h.morePending {
+		return h.morePending
 	}
-	for _, r := range h.rates {
-		if r.Moved(now) {
+	for _, r := range h.rateLimiters {
+		if r.DemandChanged(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// Next is what to send now. Each call gives up the answers to all asks before it, so it may be called
-// again whenever an answer takes too long.
-func (h *Holder) Next(now time.Duration) ledger.Command {
+// NextCommand returns the command to send now. After each call, answers to earlier renewals are ignored,
+// so it may be called again whenever an answer takes too long.
+func (h *Holder) NextCommand(now time.Duration) ledger.Command {
 	if h.incarnation == 0 {
 		return ledger.Command{Fleet: h.fleet, Join: &ledger.Join{Name: h.name, Nonce: h.nonce}}
 	}
 	h.seq++
-	h.asked = now // before it is sent: the lease counts from here
-	a := &ledger.Ask{Incarnation: h.incarnation, Seq: h.seq, Uses: map[string]ledger.Use{}}
-	for name, r := range h.rates {
-		a.Uses[name] = ledger.Use{Holding: r.Holding(now), Burst: r.Burst(now), Demand: r.Demand(now)}
+	h.renewedAt = now // before it is sent: the lease starts here
+	renewal := &ledger.Renew{Incarnation: h.incarnation, Seq: h.seq, Usage: map[string]ledger.Usage{}}
+	for name, r := range h.rateLimiters {
+		renewal.Usage[name] = ledger.Usage{MaxUse: r.MaxUse(now), Burst: r.MaxBurst(now), Demand: r.SampleDemand(now)}
 	}
-	for name, x := range h.helds {
-		a.Uses[name] = ledger.Use{Holding: x.Holding(now), Demand: x.Demand(now)}
+	for name, sem := range h.semaphores {
+		renewal.Usage[name] = ledger.Usage{MaxUse: sem.MaxUse(now), Demand: sem.SampleDemand(now)}
 	}
-	return ledger.Command{Fleet: h.fleet, Ask: a}
+	return ledger.Command{Fleet: h.fleet, Renew: renewal}
 }
 
-// Answered takes what came back. What is not the answer to the last thing sent changes nothing.
-func (h *Holder) Answered(now time.Duration, a ledger.Answer, err error) {
+// HandleAnswer applies the answer or error to the last command sent. Any other answer is ignored.
+func (h *Holder) HandleAnswer(now time.Duration, answer ledger.Answer, err error) {
 	switch {
 	case h.incarnation == 0:
-		if err == nil && a.Seq == 0 {
-			h.incarnation = a.Incarnation
+		if err == nil && answer.Seq == 0 {
+			h.incarnation = answer.Incarnation
 		}
 		return
-	case errors.Is(err, ledger.ErrLapsed) && a.Incarnation == h.incarnation:
-		// Pieces still held go on counting where they were granted, and in the next asks too. A rate's floor
-		// is kept under the old incarnation until its release: claimed by the new one too, it would be
-		// granted twice.
-		h.incarnation, h.seq, h.more = 0, 0, false
+	case errors.Is(err, ledger.ErrExpired) && answer.Incarnation == h.incarnation:
+		// Slots still in use stay counted under the old incarnation and are reported in the next renewals
+		// too. A rate's floor stays granted to the old incarnation until that is released; if the new one
+		// claimed it as well, it would be granted twice.
+		h.incarnation, h.seq, h.morePending = 0, 0, false
 		h.nonce++
-		for _, r := range h.rates {
-			r.Set(now, Grant{})
+		for _, r := range h.rateLimiters {
+			r.SetGrant(now, Grant{})
 		}
 		return
-	case err != nil || a.Incarnation != h.incarnation || a.Seq != h.seq:
+	case err != nil || answer.Incarnation != h.incarnation || answer.Seq != h.seq:
 		return
 	}
-	h.version, h.more = a.Version, false
-	h.ends = h.terms.Holder(h.asked)
-	until := h.terms.Until(h.asked)
-	for name, r := range h.rates {
-		s := a.Shares[name]
-		h.more = h.more || s.More
-		r.Set(now, Grant{Share: s.Amount, Floor: s.Floor, Burst: s.Burst, Ends: h.ends, Until: until})
+	h.budgetVersion, h.morePending = answer.Version, false
+	h.leaseEnd = h.timing.LeaseEnd(h.renewedAt)
+	floorEnd := h.timing.FloorEnd(h.renewedAt)
+	for name, r := range h.rateLimiters {
+		share := answer.Shares[name]
+		h.morePending = h.morePending || share.MorePending
+		r.SetGrant(now, Grant{Share: share.Amount, Floor: share.Floor, Burst: share.Burst, LeaseEnd: h.leaseEnd, FloorEnd: floorEnd})
 	}
-	for name, x := range h.helds {
-		s := a.Shares[name]
-		h.more = h.more || s.More
-		x.Set(now, Grant{Share: s.Amount, Floor: s.Floor, Ends: h.ends, Until: until})
+	for name, sem := range h.semaphores {
+		share := answer.Shares[name]
+		h.morePending = h.morePending || share.MorePending
+		sem.SetGrant(now, Grant{Share: share.Amount, Floor: share.Floor, LeaseEnd: h.leaseEnd, FloorEnd: floorEnd})
 	}
 }
--- a/internal/fleet/budget/rejoin_test.go
+++ b/internal/fleet/budget/rejoin_test.go
@@ -9,39 +9,39 @@
 	"tinroute.example/tinroute/internal/fleet/ledger"
 )
 
-// A member whose lease has lapsed joins anew while its old incarnation's floor is still kept for it: it
-// must not claim that floor a second time, or more is granted than there is.
-func TestAFloorIsNotClaimedTwice(t *testing.T) {
-	terms := ledger.Terms{Lease: time.Second, Linger: 10 * time.Second}
-	s := ledger.New(ledger.Settings{Fleet: "f", Generation: 1, MostMembers: 4})
-	do := func(c ledger.Command) (ledger.Answer, error) { return s.Apply(c) }
-	_, err := do(ledger.Command{Fleet: "f", Set: &ledger.Set{Version: 1, Budgets: []ledger.Budget{{Name: "b", Kind: ledger.Rate, Whole: 10 * Milli, Burst: 8 * Milli,
-		Parts: map[string]ledger.Part{"a": {Floor: 2 * Milli}}}}}})
+// A member whose lease has expired rejoins while the floor is still granted to its old incarnation. If the
+// new incarnation got the floor as well, more than the total would be granted.
+func TestRejoinDoesNotClaimFloorTwice(t *testing.T) {
+	timing := ledger.Timing{Lease: time.Second, GracePeriod: 10 * time.Second}
+	state := ledger.New(ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 4})
+	apply := func(c ledger.Command) (ledger.Answer, error) { return state.Apply(c) }
+	_, err := apply(ledger.Command{Fleet: "f", SetBudgets: &ledger.SetBudgets{Version: 1, Budgets: []ledger.Budget{{Name: "b", Kind: ledger.KindRate, Total: 10 * Unit, Burst: 8 * Unit,
+		Rules: map[string]ledger.AllocationRule{"a": {Floor: 2 * Unit}}}}}})
 	require.NoError(t, err)
-	a, b := NewHolder("f", "a", 1, terms), NewHolder("f", "b", 2, terms)
-	step := func(h *Holder, now time.Duration) {
-		h.Rate("b").Take(now, Milli)
-		x, err := do(h.Next(now))
-		h.Answered(now, x, err)
+	a, b := NewHolder("f", "a", 1, timing), NewHolder("f", "b", 2, timing)
+	renew := func(h *Holder, now time.Duration) {
+		h.RateLimiter("b").Take(now, Unit)
+		answer, err := apply(h.NextCommand(now))
+		h.HandleAnswer(now, answer, err)
 	}
 	for range 3 {
-		step(a, 0)
+		renew(a, 0)
 	}
-	require.EqualValues(t, 10*Milli, a.Rate("b").Holding(0))
-	_, err = do(ledger.Command{Fleet: "f", Lapse: &ledger.Lapse{Incarnation: a.Incarnation(), Seq: 2}})
+	require.EqualValues(t, 10*Unit, a.RateLimiter("b").MaxUse(0))
+	_, err = apply(ledger.Command{Fleet: "f", Expire: &ledger.Expire{Incarnation: a.Incarnation(), Seq: 2}})
 	require.NoError(t, err)
 	now := 2 * time.Second
-	require.EqualValues(t, 2*Milli, a.Rate("b").Holding(now), "its floor, after the lease")
-	for range 4 { // the other takes all that is free, then the first comes back
-		step(b, now)
+	require.EqualValues(t, 2*Unit, a.RateLimiter("b").MaxUse(now), "its floor remains after the lease")
+	for range 4 { // b takes all that is free, then a rejoins
+		renew(b, now)
 	}
 	for range 4 {
-		step(a, now)
-		whole, holders := s.Holders("b")
+		renew(a, now)
+		total, holders := state.Holders("b")
 		sum := int64(0)
 		for _, h := range holders {
 			sum += h.Granted
 		}
-		require.LessOrEqual(t, sum, whole)
+		require.LessOrEqual(t, sum, total)
 	}
 }
--- a/internal/fleet/clock_linux.go
+++ b/internal/fleet/clock_linux.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock counts on while the machine is suspended, and does not step when the wall clock is set: Go's own
-// monotonic clock stands still in a suspend, and a lease would outlive it.
+// Clock returns a monotonic time that includes time spent suspended. Go's own monotonic clock stops while the
+// machine is suspended, so a lease measured by it would last too long.
 func Clock() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return time.Duration(1<<63 - 1) // no clock: no lease is good
+		return time.Duration(1<<63 - 1) // without a clock no lease is valid
 	}
 	return time.Duration(ts.Nano())
 }
--- a/internal/fleet/clock_other.go
+++ b/internal/fleet/clock_other.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-var started = time.Now()
+var processStart = time.Now()
 
-// Clock may stand still in a suspend here: a machine that suspends must not be a member.
-func Clock() time.Duration { return time.Since(started) }
+// Clock returns a monotonic time that may stop while the machine is suspended. A machine that suspends must
+// not be a member of a fleet.
+func Clock() time.Duration { return time.Since(processStart) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet is a dispatcher's part in a fleet of its like: the voter, where this process is one, and
-// the member, whose shares balance is handed. Absent where no file names a fleet.
+// Package fleet runs one dispatcher's node of a fleet: the member, whose shares package balance uses for
+// admission, and the voter if this process is one. It is not used if no fleet file is configured.
 package fleet
 
 import (
@@ -20,244 +20,249 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// again is the wait between two tries to begin as a voter: during an upgrade the old process holds the
-// log and the addresses until it ends.
-const again = time.Second
+// voterRetryDelay is the wait between attempts to start the voter: during an upgrade the old process holds
+// the log and the addresses until it exits.
+const voterRetryDelay = time.Second
 
-// Options are a part's.
+// Options configure a node.
 type Options struct {
-	File   *config.Fleet
+	Config *config.Fleet
 	Name   string
 	Log    *slog.Logger
 	Listen func(network, addr string) (net.Listener, error)
 }
 
-// Part is a running part.
-type Part struct {
-	o      Options
-	member *member.Member
-	rates  map[int]int // by tenant, its place among the member's rates
-	work   map[int]bool
-	again  int // the budget of repeats' place among the member's rates, -1 where there is none
-	stop   chan struct{}
-	ended  sync.WaitGroup
+// Node is a dispatcher's running node of its fleet.
+type Node struct {
+	opts        Options
+	member      *member.Member
+	rateIndex   map[int]int  // by tenant, the index of its budget in the member's rate budgets
+	countsWork  map[int]bool // by tenant, whether its budget counts seconds of work instead of jobs
+	repeatIndex int          // the index of the repeat budget in the member's rate budgets, -1 for none
+	stop        chan struct{}
+	wg          sync.WaitGroup
 
-	mu    sync.Mutex    // guards what follows
-	voter *quorum.Voter // nil where it does not vote now
-	file  *config.Fleet
-	ratio budget.Ratio // of repeats to first tries
+	mu          sync.Mutex          // guards the fields below
+	voter       *quorum.Voter       // nil while no voter is running
+	config      *config.Fleet       // as last reloaded
+	repeatRatio budget.RatioLimiter // repeats earned by first sends
 }
 
-// Start joins the fleet, and votes where the file says so. Neither waits for the other processes.
-func Start(o Options) (*Part, error) {
-	p := &Part{o: o, file: o.File, rates: map[int]int{}, work: map[int]bool{}, again: -1, stop: make(chan struct{})}
-	m := member.Options{Name: o.Name, Fleet: o.File.Ledger.Fleet, Terms: o.File.Terms, Voters: map[string]string{}, Clock: Clock, Log: o.Log}
-	for name, v := range o.File.Voters {
-		m.Voters[name] = v.LedgerAddr
+// Start joins the fleet, and starts the voter if the configuration has one. It does not wait for the other
+// processes.
+func Start(opts Options) (*Node, error) {
+	n := &Node{opts: opts, config: opts.Config, rateIndex: map[int]int{}, countsWork: map[int]bool{}, repeatIndex: -1, stop: make(chan struct{})}
+	memberOpts := member.Options{Name: opts.Name, Fleet: opts.Config.Ledger.Fleet, Timing: opts.Config.Terms, Voters: map[string]string{}, Clock: Clock, Log: opts.Log}
+	for name, v := range opts.Config.Voters {
+		memberOpts.Voters[name] = v.LedgerAddr
 	}
-	for tenant, b := range o.File.Tenants {
-		p.rates[tenant], p.work[tenant] = len(m.Rates), b.CountsWork
-		m.Rates = append(m.Rates, b.Budget)
+	for tenant, b := range opts.Config.Tenants {
+		n.rateIndex[tenant], n.countsWork[tenant] = len(memberOpts.RateBudgets), b.CountsWork
+		memberOpts.RateBudgets = append(memberOpts.RateBudgets, b.Budget)
 	}
-	if r := o.File.Repeats; r != nil {
-		p.again, p.ratio = len(m.Rates), budget.Ratio{Part: r.ShareMilli, Most: r.MaxSavedMilli}
-		m.Rates = append(m.Rates, r.Budget)
+	if r := opts.Config.Repeats; r != nil {
+		n.repeatIndex, n.repeatRatio = len(memberOpts.RateBudgets), budget.RatioLimiter{ShareMilli: r.ShareMilli, MaxSavedMilli: r.MaxSavedMilli}
+		memberOpts.RateBudgets = append(memberOpts.RateBudgets, r.Budget)
 	}
-	m.Each = o.File.ConnectionBudget
+	memberOpts.ConnectionBudget = opts.Config.ConnectionBudget
 	var err error
-	if p.member, err = member.Start(m); err != nil {
+	if n.member, err = member.Start(memberOpts); err != nil {
 		return nil, err
 	}
-	if o.File.VoterDir != "" {
-		p.ended.Go(p.vote)
+	if opts.Config.VoterDir != "" {
+		n.wg.Go(n.runVoter)
 	}
-	return p, nil
+	return n, nil
 }
 
-// Reload takes the budgets of a file read again. They are proposed where this process leads, as the
-// version that the file names; all else holds until a restart.
-func (p *Part) Reload(f *config.Fleet) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.file = f
+// ReloadBudgets takes the budgets of a reloaded fleet file. While this process is the leader, it proposes them
+// under the version in the file. All other settings apply only after a restart.
+func (n *Node) ReloadBudgets(cfg *config.Fleet) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.config = cfg
 }
 
-// Admit asks the tenant's budget for one job of so much work, in seconds. It implements balance.Shares.
-func (p *Part) Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
-	i, budgeted := p.rates[tenant]
+// Admit takes one job from the tenant's budget; work is its work in seconds. It implements balance.Shares.
+func (n *Node) Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
+	i, budgeted := n.rateIndex[tenant]
 	if !budgeted {
 		return false, true, 0
 	}
-	n := int64(budget.Milli)
-	if p.work[tenant] {
-		n = max(1, int64(work*budget.Milli))
+	amount := int64(budget.Unit)
+	if n.countsWork[tenant] {
+		amount = max(1, int64(work*budget.Unit))
 	}
-	ok, wait, never := p.member.Take(i, n)
-	if !ok && never { // nothing is in sight before the next grant
-		wait = p.o.File.Terms.Lease
+	ok, wait, unavailable := n.member.Take(i, amount)
+	if !ok && unavailable { // nothing can be admitted before the next grant
+		wait = n.opts.Config.Terms.Lease
 	}
 	return true, ok, wait
 }
 
-// CountFirstSend counts a first try. It implements balance.Shares.
-func (p *Part) CountFirstSend() {
-	if p.again >= 0 {
-		p.mu.Lock()
-		p.ratio.Earn()
-		p.mu.Unlock()
+// CountFirstSend counts the first send of a request. It implements balance.Shares.
+func (n *Node) CountFirstSend() {
+	if n.repeatIndex >= 0 {
+		n.mu.Lock()
+		n.repeatRatio.Earn()
+		n.mu.Unlock()
 	}
 }
 
-// AllowRepeat asks for one repeat or second copy: what first tries here have earned goes before the fleet's
-// budget, which others may need. It implements balance.Shares.
-func (p *Part) AllowRepeat() bool {
-	if p.again < 0 {
+// AllowRepeat reports whether one repeat or second copy may be sent. It uses the repeats earned by first sends
+// here before the fleet's budget, which other dispatchers may need. It implements balance.Shares.
+func (n *Node) AllowRepeat() bool {
+	if n.repeatIndex < 0 {
 		return true
 	}
-	p.mu.Lock()
-	ok := p.ratio.Take()
-	p.mu.Unlock()
+	n.mu.Lock()
+	ok := n.repeatRatio.Take()
+	n.mu.Unlock()
 	if !ok {
-		ok, _, _ = p.member.Take(p.again, budget.Milli)
+		ok, _, _ = n.member.Take(n.repeatIndex, budget.Unit)
 	}
 	return ok
 }
 
-// Connections bounds those at each worker, nil where no budget does.
-func (p *Part) Connections() link.ConnLimit {
-	if p.o.File.ConnectionBudget == "" {
+// ConnLimit returns the limit on connections per worker, nil if there is no such budget.
+func (n *Node) ConnLimit() link.ConnLimit {
+	if n.opts.Config.ConnectionBudget == "" {
 		return nil
 	}
-	return p.member
+	return n.member
 }
 
-// vote is a voter for as long as the part runs.
-func (p *Part) vote() {
-	told := ""
+// runVoter runs the voter until the node is closed. It restarts a voter that has failed, unless the cause needs
+// an operator.
+func (n *Node) runVoter() {
+	lastLogged := ""
 	for {
-		v, s, err := p.begin()
+		voter, server, err := n.startVoter()
 		if err == nil {
-			p.votes(v)
-			err = p.lead(v)
-			p.votes(nil)
-			s.Close()
-			if err := v.Close(); err != nil {
-				p.o.Log.Warn("voter not closed", "err", err)
+			n.setVoter(voter)
+			err = n.proposeBudgets(voter)
+			n.setVoter(nil)
+			server.Close()
+			if err := voter.Close(); err != nil {
+				n.opts.Log.Warn("closing the voter failed", "err", err)
 			}
 			if err == nil {
 				return
 			}
 		}
-		if err.Error() != told { // once for each cause
-			told = err.Error()
-			p.o.Log.Error("cannot vote", "err", err)
+		if err.Error() != lastLogged { // log repeated causes only once
+			lastLogged = err.Error()
+			n.opts.Log.Error("voter cannot run; retrying unless its directory is damaged or of another generation", "err", err)
 		}
-		if errors.Is(err, quorum.ErrDamaged) || errors.Is(err, quorum.ErrGeneration) { // a person has to look at the folder
+		if errors.Is(err, quorum.ErrCorrupt) || errors.Is(err, quorum.ErrWrongGeneration) { // needs an operator
 			return
 		}
 		select {
-		case <-p.stop:
+		case <-n.stop:
 			return
-		case <-time.After(again):
+		case <-time.After(voterRetryDelay):
 		}
 	}
 }
 
-func (p *Part) votes(v *quorum.Voter) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.voter = v
+// setVoter sets the running voter, nil for none.
+func (n *Node) setVoter(v *quorum.Voter) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.voter = v
 }
 
-func (p *Part) begin() (*quorum.Voter, *rpc.Server, error) {
-	f, addrs := p.o.File, map[string]string{}
-	for name, v := range f.Voters {
-		addrs[name] = v.RaftAddr
+// startVoter starts the voter and the RPC server of its ledger.
+func (n *Node) startVoter() (*quorum.Voter, *rpc.Server, error) {
+	cfg, addrs := n.opts.Config, map[string]string{}
+	for name, voter := range cfg.Voters {
+		addrs[name] = voter.RaftAddr
 	}
-	l, err := p.o.Listen("tcp", f.Voters[p.o.Name].LedgerAddr)
+	listener, err := n.opts.Listen("tcp", cfg.Voters[n.opts.Name].LedgerAddr)
 	if err != nil {
 		return nil, nil, fmt.Errorf("listen: %w", err)
 	}
-	v, err := quorum.Start(quorum.Options{Name: p.o.Name, Voters: addrs, Dir: f.VoterDir, Begin: f.Bootstrap, Fleet: f.Ledger, Terms: f.Terms,
-		Pace: f.HeartbeatInterval, Clock: Clock, Log: p.o.Log})
+	voter, err := quorum.Start(quorum.Options{Name: n.opts.Name, Voters: addrs, Dir: cfg.VoterDir, Bootstrap: cfg.Bootstrap, Settings: cfg.Ledger, Timing: cfg.Terms,
+		HeartbeatInterval: cfg.HeartbeatInterval, Clock: Clock, Log: n.opts.Log})
 	if err != nil {
-		_ = l.Close()
+		_ = listener.Close()
 		return nil, nil, err
 	}
-	return v, rpc.Serve(l, v, f.Ledger.MostMembers), nil
+	return voter, rpc.Serve(listener, voter, cfg.Ledger.MaxMembers), nil
 }
 
-// lead proposes the file's budgets while this voter leads, until the part ends or the voter has failed.
-func (p *Part) lead(v *quorum.Voter) error {
-	tick := time.NewTicker(p.o.File.Terms.Lease / 4)
-	defer tick.Stop()
-	told, began := "", time.Duration(0)
+// proposeBudgets proposes the file's budgets while this voter is the leader. It returns nil when the node is
+// closed, or the cause when the voter has failed.
+func (n *Node) proposeBudgets(voter *quorum.Voter) error {
+	ticker := time.NewTicker(n.opts.Config.Terms.Lease / 4)
+	defer ticker.Stop()
+	lastLogged, leadingSince := "", time.Duration(0)
 	for {
 		select {
-		case <-p.stop:
+		case <-n.stop:
 			return nil
-		case <-v.Failed():
-			return v.Why()
-		case <-tick.C:
+		case <-voter.Failed():
+			return voter.Err()
+		case <-ticker.C:
 		}
-		if v.Leader() != p.o.Name {
-			began = 0
+		if voter.Leader() != n.opts.Name {
+			leadingSince = 0
 			continue
 		}
-		if began == 0 { // a majority is of this ledger, so none is of the one before
-			began = Clock()
+		if leadingSince == 0 { // a majority runs this ledger, so none runs the previous one
+			leadingSince = Clock()
 		}
-		p.mu.Lock()
-		set := ledger.Set{Version: p.file.BudgetVersion, Budgets: p.file.Budgets}
-		p.mu.Unlock()
-		var have ledger.Overview
-		v.Look(func(s *ledger.State) { have = s.Overview() })
-		// What the ledger before this one granted may be in use: by members' leases, and after these by floors
-		// and jobs, for as long as their files say.
-		if f := p.o.File; have.Version == 0 && f.Ledger.Generation > 1 {
-			if left := f.Terms.Past() - (Clock() - began); left > 0 {
-				if told != "waits" {
-					told = "waits"
-					p.o.Log.Info("a later generation: nothing is granted before the one before has surely ended", "for", left.Round(time.Millisecond))
+		n.mu.Lock()
+		proposed := ledger.SetBudgets{Version: n.config.BudgetVersion, Budgets: n.config.Budgets}
+		n.mu.Unlock()
+		var current ledger.Overview
+		voter.View(func(s *ledger.State) { current = s.Overview() })
+		// Grants of the previous generation may still be in use: under members' leases, and then as floors and
+		// running jobs for the grace period.
+		if cfg := n.opts.Config; current.Version == 0 && cfg.Ledger.Generation > 1 {
+			if remaining := cfg.Terms.MaxGrantLifetime() - (Clock() - leadingSince); remaining > 0 {
+				if lastLogged != "waits" {
+					lastLogged = "waits"
+					n.opts.Log.Info("new ledger generation: no budgets until all grants of the previous one have expired", "for", remaining.Round(time.Millisecond))
 				}
 				continue
 			}
 		}
-		if set.Version <= have.Version {
-			if set.Version == have.Version && !same(set.Budgets, have.Budgets) && told != "differs" {
-				told = "differs"
-				p.o.Log.Warn("the file's budgets differ from those in force under the same version", "version", set.Version)
+		if proposed.Version <= current.Version {
+			if proposed.Version == current.Version && !sameBudgets(proposed.Budgets, current.Budgets) && lastLogged != "differs" {
+				lastLogged = "differs"
+				n.opts.Log.Warn("fleet file's budgets differ from the current ones of the same version; keeping the current ones", "version", proposed.Version)
 			}
 			continue
 		}
-		switch _, err := v.Apply(ledger.Command{Fleet: p.o.File.Ledger.Fleet, Set: &set}); {
+		switch _, err := voter.Apply(ledger.Command{Fleet: n.opts.Config.Ledger.Fleet, SetBudgets: &proposed}); {
 		case err == nil:
-			told = ""
-			p.o.Log.Info("budgets in force", "version", set.Version)
-		case !errors.Is(err, quorum.ErrNotLeader) && !errors.Is(err, quorum.ErrUnsure) && told != err.Error():
-			told = err.Error()
-			p.o.Log.Error("budgets not taken up", "version", set.Version, "in force", have.Version, "err", err)
+			lastLogged = ""
+			n.opts.Log.Info("budgets applied", "version", proposed.Version)
+		case !errors.Is(err, quorum.ErrNotLeader) && !errors.Is(err, quorum.ErrOutcomeUnknown) && lastLogged != err.Error():
+			lastLogged = err.Error()
+			n.opts.Log.Error("fleet file's budgets not applied; retrying", "version", proposed.Version, "in force", current.Version, "err", err)
 		}
 	}
 }
 
-// same tells whether a file's budgets, in the order of their names, are those in force.
-func same(file []ledger.Budget, have []ledger.BudgetOverview) bool {
-	if len(file) != len(have) {
+// sameBudgets reports whether the proposed budgets, sorted by name, equal the current ones.
+func sameBudgets(proposed []ledger.Budget, current []ledger.BudgetOverview) bool {
+	if len(proposed) != len(current) {
 		return false
 	}
-	for i := range file {
-		if !reflect.DeepEqual(file[i], have[i].Budget) {
+	for i := range proposed {
+		if !reflect.DeepEqual(proposed[i], current[i].Budget) {
 			return false
 		}
 	}
 	return true
 }
 
-// Close leaves the fleet; the voter ends last, since the leave may be written by it.
-func (p *Part) Close() error {
-	err := p.member.Close()
-	close(p.stop)
-	p.ended.Wait()
+// Close leaves the fleet and stops the voter. The voter is stopped last, because it may have to write the leave.
+func (n *Node) Close() error {
+	err := n.member.Close()
+	close(n.stop)
+	n.wg.Wait()
 	return err
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,31 +19,32 @@
 	return l.Addr().String()
 }
 
-// alone starts a fleet of one, with a budget of 1,000 a second for tenant 0 and one of 50 repeats.
-func alone(t testing.TB, whole int64) *Part {
-	f := &config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MostMembers: 4}, Terms: ledger.Terms{Lease: time.Second, Linger: time.Second},
+// startSingleNode starts a fleet of one node, with a budget for tenant 0 of total thousandths a second
+// (1,000,000 is 1,000 a second) and one of 50 repeats a second.
+func startSingleNode(t testing.TB, total int64) *Node {
+	cfg := &config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 4}, Terms: ledger.Timing{Lease: time.Second, GracePeriod: time.Second},
 		Voters: map[string]config.Voter{"a": {RaftAddr: freeAddr(t), LedgerAddr: freeAddr(t)}}, VoterDir: t.TempDir(), Bootstrap: true, HeartbeatInterval: 200 * time.Millisecond, BudgetVersion: 1,
-		Budgets: []ledger.Budget{{Name: "again", Kind: ledger.Rate, Whole: 50_000, Burst: 8000}, {Name: "x", Kind: ledger.Rate, Whole: whole, Burst: whole}},
+		Budgets: []ledger.Budget{{Name: "again", Kind: ledger.KindRate, Total: 50_000, Burst: 8000}, {Name: "x", Kind: ledger.KindRate, Total: total, Burst: total}},
 		Tenants: map[int]config.TenantBudget{0: {Budget: "x"}}, Repeats: &config.RepeatBudget{Budget: "again", ShareMilli: 500, MaxSavedMilli: 1000}}
-	p, err := Start(Options{File: f, Name: "a", Log: slog.New(slog.DiscardHandler), Listen: net.Listen})
+	node, err := Start(Options{Config: cfg, Name: "a", Log: slog.New(slog.DiscardHandler), Listen: net.Listen})
 	require.NoError(t, err)
-	t.Cleanup(func() { require.NoError(t, p.Close()) })
-	require.Eventually(t, func() bool { _, ok, _ := p.Admit(0, 1); return ok }, 20*time.Second, time.Millisecond)
-	return p
+	t.Cleanup(func() { require.NoError(t, node.Close()) })
+	require.Eventually(t, func() bool { _, ok, _ := node.Admit(0, 1); return ok }, 20*time.Second, time.Millisecond)
+	return node
 }
 
-// What telemetry is told adds up: the whole, what the one holder has, and what it has admitted.
-func TestFigures(t *testing.T) {
-	p := alone(t, 1_000_000)
+// The measurements are consistent: the total, the share of the only holder, and what it has admitted.
+func TestMeasurements(t *testing.T) {
+	node := startSingleNode(t, 1_000_000)
 	for range 10 {
-		p.Admit(0, 1)
+		node.Admit(0, 1)
 	}
 	var seen map[string]float64
-	require.Eventually(t, func() bool { // the lease is told of a moment after it runs
+	require.Eventually(t, func() bool { // the grant is reported shortly after the lease starts
 		seen = map[string]float64{}
-		for _, f := range p.Figures() {
-			require.Contains(t, Figures, f.Name)
-			seen[f.Name+" "+f.Budget] += f.Value
+		for _, m := range node.Measurements() {
+			require.Contains(t, MetricDescriptions, m.Name)
+			seen[m.Name+" "+m.Budget] += m.Value
 		}
 		return seen["tinroute.fleet.granted x"] == 1000
 	}, 20*time.Second, 10*time.Millisecond)
@@ -54,31 +55,31 @@
 	require.Zero(t, seen["tinroute.fleet.used again"])
 }
 
-// A repeat that first tries have earned leaves the fleet's budget alone.
-func TestEarnedRepeatsGoFirst(t *testing.T) {
-	p := alone(t, 1_000_000)
-	p.CountFirstSend()
-	p.CountFirstSend()
-	p.CountFirstSend() // two halves are saved up, and no more
-	require.True(t, p.AllowRepeat())
+// A repeat that first sends have earned is not taken from the fleet's budget.
+func TestEarnedRepeatsPrecedeFleetBudget(t *testing.T) {
+	node := startSingleNode(t, 1_000_000)
+	node.CountFirstSend()
+	node.CountFirstSend()
+	node.CountFirstSend() // two halves are saved, which is the limit
+	require.True(t, node.AllowRepeat())
 	used := func() float64 {
-		for _, f := range p.Figures() {
-			if f.Name == "tinroute.fleet.used" && f.Budget == "again" {
-				return f.Value
+		for _, m := range node.Measurements() {
+			if m.Name == "tinroute.fleet.used" && m.Budget == "again" {
+				return m.Value
 			}
 		}
 		return -1
 	}
 	require.Zero(t, used())
-	require.Eventually(t, p.AllowRepeat, 20*time.Second, time.Millisecond)
+	require.Eventually(t, node.AllowRepeat, 20*time.Second, time.Millisecond)
 	require.InDelta(t, 1, used(), 0)
 }
 
-// BenchmarkFirst is one admission as balance asks for it: the clock, the lock and the share.
-func BenchmarkFirst(b *testing.B) {
-	p := alone(b, 1<<41)
+// BenchmarkAdmit measures one admission as package balance requests it: the clock, the lock and the limiter.
+func BenchmarkAdmit(b *testing.B) {
+	node := startSingleNode(b, 1<<41)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Admit(0, 1)
+		node.Admit(0, 1)
 	}
 }
--- a/internal/fleet/ledger/commands.go
+++ b/internal/fleet/ledger/commands.go
@@ -4,118 +4,120 @@
 	"errors"
 )
 
-// Kind is what a budget counts.
+// Kind is the kind of quantity that a budget limits.
 type Kind string
 
-// The kinds: a rate with a burst, and what is held at once, in whole pieces.
+// KindRate limits a rate with a burst. KindConcurrency limits how many slots, such as connections, are in
+// use at once.
 const (
-	Rate Kind = "rate"
-	Held Kind = "held"
+	KindRate        Kind = "rate"
+	KindConcurrency Kind = "held"
 )
 
-// milli is one unit of a budget's amounts.
-const milli = 1000
+// unit is one whole unit in the thousandths that amounts are counted in.
+const unit = 1000
 
-// Part is one name's place in a budget, in thousandths.
-type Part struct {
-	Weight  int64 `json:"weight,omitempty"` // 1 where 0
-	Floor   int64 `json:"floor,omitempty"`
-	Ceiling int64 `json:"ceiling,omitempty"`
+// AllocationRule is how one member name takes part in a budget. Floor and Ceiling are in thousandths.
+type AllocationRule struct {
+	Weight  int64 `json:"weight,omitempty"`  // 0 means 1
+	Floor   int64 `json:"floor,omitempty"`   // guaranteed; also usable after the lease unless the budget lends floors
+	Ceiling int64 `json:"ceiling,omitempty"` // the most it may have, 0 for no limit
 }
 
-// Budget is one whole.
+// Budget is one fleet-wide limit that is divided among the members.
 type Budget struct {
-	Name  string          `json:"name"`
-	Kind  Kind            `json:"kind"`
-	Whole int64           `json:"whole"`           // thousandths: a second for a rate, of pieces for what is held
-	Burst int64           `json:"burst,omitempty"` // rates: the most that the fleet has saved up, at least a unit for each member
-	Lend  bool            `json:"lend,omitempty"`  // floors of names that are not there may be used by others
-	Parts map[string]Part `json:"parts,omitempty"` // by member name; others have weight 1
+	Name       string                    `json:"name"`
+	Kind       Kind                      `json:"kind"`
+	Total      int64                     `json:"whole"`           // in thousandths: per second for a rate, of slots for concurrency
+	Burst      int64                     `json:"burst,omitempty"` // rates only: the most tokens that all members accumulate together, at least one unit per member
+	LendFloors bool                      `json:"lend,omitempty"`  // floors of absent members may be used by others
+	Rules      map[string]AllocationRule `json:"parts,omitempty"` // by member name; other names have weight 1
 }
 
-// Settings are the fleet's, fixed at its beginning.
+// Settings identify a ledger. They are fixed when it is bootstrapped.
 type Settings struct {
-	Fleet       string `json:"fleet"`        // a command for another is refused
-	Generation  uint64 `json:"generation"`   // of the ledger: one begun anew after a loss has a higher one
-	MostMembers int    `json:"most_members"` // live and lapsed together
+	Fleet      string `json:"fleet"`        // commands for another fleet are rejected
+	Generation uint64 `json:"generation"`   // increased when the ledger is bootstrapped again after its state was lost
+	MaxMembers int    `json:"most_members"` // live and expired members together
 }
 
-// Command is one entry of the log: exactly one of its parts is set.
+// Command is one entry of the raft log. Exactly one of the pointers is set. The JSON keys of commands, answers
+// and snapshots are stored and sent to peers of other versions, so they keep their original names.
 type Command struct {
-	Fleet   string   `json:"fleet"`
-	Join    *Join    `json:"join,omitempty"`
-	Ask     *Ask     `json:"ask,omitempty"`
-	Leave   *Leave   `json:"leave,omitempty"`
-	Lapse   *Lapse   `json:"lapse,omitempty"`
-	Release *Release `json:"release,omitempty"`
-	Set     *Set     `json:"set,omitempty"`
+	Fleet      string      `json:"fleet"`
+	Join       *Join       `json:"join,omitempty"`
+	Renew      *Renew      `json:"ask,omitempty"`
+	Leave      *Leave      `json:"leave,omitempty"`
+	Expire     *Expire     `json:"lapse,omitempty"`
+	Release    *Release    `json:"release,omitempty"`
+	SetBudgets *SetBudgets `json:"set,omitempty"`
 }
 
-// Join makes a member. The same nonce sent again gets the same incarnation.
+// Join adds a member. It is idempotent: the same name and nonce return the same incarnation.
 type Join struct {
 	Name  string `json:"name"`
 	Nonce uint64 `json:"nonce"`
 }
 
-// Use is a member's word on one budget.
-type Use struct {
-	Holding int64 `json:"holding"`         // the most it may use until it hears the answer
-	Burst   int64 `json:"burst,omitempty"` // the most it may have saved up until then
-	Demand  int64 `json:"demand"`
+// Usage is what a member reports about one budget.
+type Usage struct {
+	MaxUse int64 `json:"holding"`         // the most it may use until it receives the answer
+	Burst  int64 `json:"burst,omitempty"` // the most tokens it may accumulate until then
+	Demand int64 `json:"demand"`
 }
 
-// Ask renews a lease and asks for shares. Seq rises with each ask of an incarnation; by sending it
-// the member gives up the answers to all earlier ones.
-type Ask struct {
-	Incarnation uint64         `json:"incarnation"`
-	Seq         uint64         `json:"seq"`
-	Uses        map[string]Use `json:"uses,omitempty"`
+// Renew renews a member's lease and requests shares. Seq increases with each renewal of an incarnation; once
+// a member has sent one, it ignores the answers to all earlier ones.
+type Renew struct {
+	Incarnation uint64           `json:"incarnation"`
+	Seq         uint64           `json:"seq"`
+	Usage       map[string]Usage `json:"uses,omitempty"`
 }
 
-// Leave ends a member that uses nothing any more.
+// Leave removes a member that no longer uses any share.
 type Leave struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Lapse ends the lease of a member that has said nothing since Seq.
-type Lapse struct {
+// Expire ends the lease of a member that has not renewed it since Seq.
+type Expire struct {
 	Incarnation uint64 `json:"incarnation"`
 	Seq         uint64 `json:"seq"`
 }
 
-// Release frees what a lapsed member kept.
+// Release removes an expired member and frees what it still held.
 type Release struct {
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Set takes over budgets as one version, which must be the next.
-type Set struct {
+// SetBudgets replaces all budgets. Version must be the next one.
+type SetBudgets struct {
 	Version uint64   `json:"version"`
 	Budgets []Budget `json:"budgets"`
 }
 
-// Share is what a member is granted of one budget.
+// Share is the part of one budget that a member is granted.
 type Share struct {
-	Amount int64 `json:"amount"`
-	Floor  int64 `json:"floor,omitempty"` // to be used after the lease has ended
-	Burst  int64 `json:"burst,omitempty"`
-	More   bool  `json:"more,omitempty"` // clearly more is due, once others have said that they hold less
+	Amount      int64 `json:"amount"`
+	Floor       int64 `json:"floor,omitempty"` // usable after the lease has ended
+	Burst       int64 `json:"burst,omitempty"`
+	MorePending bool  `json:"more,omitempty"` // a clearly larger share follows once others have reported that they use less
 }
 
-// Answer is what a command came to.
+// Answer is the result of a command.
 type Answer struct {
 	Incarnation uint64           `json:"incarnation,omitempty"`
 	Seq         uint64           `json:"seq,omitempty"`
 	Generation  uint64           `json:"generation"`
-	Version     uint64           `json:"version"` // of the budgets
-	Shares      map[string]Share `json:"shares,omitempty"`
+	Version     uint64           `json:"version"`          // of the budgets
+	Shares      map[string]Share `json:"shares,omitempty"` // by budget name
 }
 
-// The errors that a sender can act on.
+// The errors that the sender of a command can act on. Their texts are sent to peers.
 var (
-	ErrForeign = errors.New("ledger: another fleet's command")
-	ErrLapsed  = errors.New("ledger: no such member, or its lease has lapsed; it has to join anew")
-	ErrOld     = errors.New("ledger: an older ask than the last one")
-	ErrFull    = errors.New("ledger: no room for another member")
-	ErrVersion = errors.New("ledger: not the next version")
+	ErrWrongFleet      = errors.New("ledger: another fleet's command")
+	ErrExpired         = errors.New("ledger: no such member, or its lease has lapsed; it has to join anew")
+	ErrStale           = errors.New("ledger: an older ask than the last one")
+	ErrTooManyMembers  = errors.New("ledger: no room for another member")
+	ErrVersionMismatch = errors.New("ledger: not the next version")
 )
--- a/internal/fleet/ledger/grants.go
+++ b/internal/fleet/ledger/grants.go
@@ -7,118 +7,121 @@
 	"tinroute.example/tinroute/internal/fleet/share"
 )
 
-// due is the part of a share that is worth asking again for.
-const due = 8
+// pendingDivisor sets when a member should renew early: if it is granted less than its target by more than
+// 1/8 of the target.
+const pendingDivisor = 8
 
-// steady is the part of a share that is not worth taking back.
-const steady = 32
+// reclaimDivisor sets when a share is not reduced: if the reduction is at most 1/32 of what the member uses.
+const reclaimDivisor = 32
 
-// burst is a share's part of the burst: a unit for each member that there may be, the rest by share.
-func (b *Budget) burst(amount int64, members int) int64 {
-	rest := max(0, b.Burst-int64(members)*milli)
-	if b.Whole <= 0 || amount <= 0 {
+// burstFor returns the part of the burst that goes with a share. One unit is reserved for each possible
+// member, and the rest is divided in proportion to the shares.
+func (b *Budget) burstFor(amount int64, maxMembers int) int64 {
+	rest := max(0, b.Burst-int64(maxMembers)*unit)
+	if b.Total <= 0 || amount <= 0 {
 		return 0
 	}
-	return milli + share.Scale(rest, min(amount, b.Whole), b.Whole)
+	return unit + share.MulDiv(rest, min(amount, b.Total), b.Total)
 }
 
-// target is what the division gives a member now.
-func (s *State) target(b *Budget, of uint64) int64 {
-	whole := b.Whole - s.absent(b)
+// targetShare returns the share that a member gets when the budget is divided among all live members now.
+func (s *State) targetShare(b *Budget, incarnation uint64) int64 {
+	available := b.Total - s.reservedFloors(b)
 	var claims []share.Claim
-	at := -1
-	type processes struct {
+	claimIndex := -1
+	type processGroup struct {
 		n      int64
 		newest uint64
 	}
-	named := map[string]processes{}
-	order := s.order()
-	for _, i := range order { // by incarnation: the last one seen is the newest
-		if m := s.members[i]; m.Lapsed {
-			whole -= m.Granted[b.Name]
+	byName := map[string]processGroup{}
+	incarnations := s.incarnations()
+	for _, i := range incarnations { // in ascending order: the last one of a name is the newest
+		if m := s.members[i]; m.Expired {
+			available -= m.Granted[b.Name]
 		} else {
-			named[m.Name] = processes{named[m.Name].n + 1, i}
+			byName[m.Name] = processGroup{byName[m.Name].n + 1, i}
 		}
 	}
-	for _, i := range order {
+	for _, i := range incarnations {
 		m := s.members[i]
-		if m.Lapsed {
+		if m.Expired {
 			continue
 		}
-		p := b.Parts[m.Name]
-		// The processes of one name, as in an upgrade, share its weight; the newest has its floor.
-		c := share.Claim{Weight: max(1, max(1, p.Weight)*weightUnit/named[m.Name].n), Demand: m.Demand[b.Name], Ceiling: p.Ceiling}
-		if named[m.Name].newest == i {
-			c.Floor = p.Floor
+		rule := b.Rules[m.Name]
+		// Processes of the same name, as during an upgrade, share its weight. The newest has its floor.
+		claim := share.Claim{Weight: max(1, max(1, rule.Weight)*weightScale/byName[m.Name].n), Demand: m.Demand[b.Name], Ceiling: rule.Ceiling}
+		if byName[m.Name].newest == i {
+			claim.Floor = rule.Floor
 		}
-		if i == of {
-			at = len(claims)
+		if i == incarnation {
+			claimIndex = len(claims)
 		}
-		claims = append(claims, c)
+		claims = append(claims, claim)
 	}
-	got := share.Divide(max(0, whole), claims)[at]
-	if b.Kind == Held {
-		got -= got % milli
+	amount := share.Divide(max(0, available), claims)[claimIndex]
+	if b.Kind == KindConcurrency {
+		amount -= amount % unit
 	}
-	return got
+	return amount
 }
 
-// weightUnit lets a name's weight be halved among its processes.
-const weightUnit = 16
+// weightScale is the precision with which a name's weight is divided among its processes.
+const weightScale = 16
 
-// granted is what all members together may use of a budget.
-func (s *State) granted(b *Budget) (sum int64) {
+// totalGranted returns how much of a budget all members together may use.
+func (s *State) totalGranted(b *Budget) (sum int64) {
 	for _, m := range s.members {
 		sum += m.Granted[b.Name]
 	}
 	return sum
 }
 
-// bursts is what all members together may have saved up of a budget.
-func (s *State) bursts(b *Budget) (sum int64) {
+// totalBursts returns how many tokens of a budget all members together may accumulate.
+func (s *State) totalBursts(b *Budget) (sum int64) {
 	for _, m := range s.members {
 		sum += m.Bursts[b.Name]
 	}
 	return sum
 }
 
-// absent is what floors of names that are not there hold back.
-func (s *State) absent(b *Budget) (sum int64) {
-	if b.Lend {
+// reservedFloors returns how much of a budget is reserved for the floors of absent members.
+func (s *State) reservedFloors(b *Budget) (sum int64) {
+	if b.LendFloors {
 		return 0
 	}
-	away := map[string]int64{} // what of its floor each name does not have
-	for name, p := range b.Parts {
-		if p.Floor > 0 {
-			away[name] = p.Floor
+	reserved := map[string]int64{} // by name, the part of the floor that is not granted
+	for name, rule := range b.Rules {
+		if rule.Floor > 0 {
+			reserved[name] = rule.Floor
 		}
 	}
-	if len(away) == 0 {
+	if len(reserved) == 0 {
 		return 0
 	}
 	for _, m := range s.members {
-		if floor, ok := away[m.Name]; !ok {
+		if floor, ok := reserved[m.Name]; !ok {
 			continue
-		} else if m.Lapsed {
-			away[m.Name] = max(0, floor-m.Granted[b.Name])
+		} else if m.Expired {
+			reserved[m.Name] = max(0, floor-m.Granted[b.Name])
 		} else {
-			delete(away, m.Name)
+			delete(reserved, m.Name)
 		}
 	}
-	for _, floor := range away {
+	for _, floor := range reserved {
 		sum += floor
 	}
-	return min(sum, b.Whole)
+	return min(sum, b.Total)
 }
 
-// newest is the last live incarnation of a name.
-func (s *State) newest(name string) (newest uint64) {
+// newestIncarnation returns the latest live incarnation of a name, 0 if there is none.
+func (s *State) newestIncarnation(name string) (newest uint64) {
 	for i, m := range s.members {
-		if m.Name == name && !m.Lapsed {
+		if m.Name == name && !m.Expired {
 			newest = max(newest, i)
 		}
 	}
 	return newest
 }
 
-func (s *State) order() []uint64 { return slices.Sorted(maps.Keys(s.members)) }
+// incarnations returns the incarnations of all members in ascending order, which is the same on every voter.
+func (s *State) incarnations() []uint64 { return slices.Sorted(maps.Keys(s.members)) }
--- a/internal/fleet/ledger/overview.go
+++ b/internal/fleet/ledger/overview.go
@@ -1,6 +1,6 @@
 package ledger
 
-// Overview is the whole state for those who look, with who leads as the voter asked knows it.
+// Overview is the state as shown to operators. Leader is the leader as known to the voter that answered.
 type Overview struct {
 	Fleet      string           `json:"fleet"`
 	Generation uint64           `json:"generation"`
@@ -9,19 +9,19 @@
 	Budgets    []BudgetOverview `json:"budgets"`
 }
 
-// BudgetOverview is one budget with its holders.
+// BudgetOverview is one budget and its holders.
 type BudgetOverview struct {
 	Budget
-	Granted int64    `json:"granted"` // to all holders together
+	Granted int64    `json:"granted"` // total of all holders
 	Holders []Holder `json:"holders"`
 }
 
-// Overview tells the state.
+// Overview returns the budgets and their holders.
 func (s *State) Overview() Overview {
-	o := Overview{Fleet: s.Fleet, Generation: s.Generation, Version: s.version}
+	overview := Overview{Fleet: s.Fleet, Generation: s.Generation, Version: s.budgetVersion}
 	for _, b := range s.budgets {
 		_, holders := s.Holders(b.Name)
-		o.Budgets = append(o.Budgets, BudgetOverview{b, s.granted(&b), holders})
+		overview.Budgets = append(overview.Budgets, BudgetOverview{b, s.totalGranted(&b), holders})
 	}
-	return o
+	return overview
 }
--- a/internal/fleet/ledger/snapshot.go
+++ b/internal/fleet/ledger/snapshot.go
@@ -5,9 +5,10 @@
 	"fmt"
 )
 
-// format is the snapshot's version.
-const format = 1
+// snapshotFormat is the version of the snapshot's format.
+const snapshotFormat = 1
 
+// snapshot is the stored form of State.
 type snapshot struct {
 	Format int `json:"format"`
 	Settings
@@ -17,38 +18,38 @@
 	Last    uint64             `json:"last"`
 }
 
-// Snapshot writes the whole state.
+// Snapshot encodes the whole state as JSON.
 func (s *State) Snapshot() ([]byte, error) {
-	return json.Marshal(snapshot{format, s.Settings, s.version, s.budgets, s.members, s.last})
+	return json.Marshal(snapshot{snapshotFormat, s.Settings, s.budgetVersion, s.budgets, s.members, s.lastIncarnation})
 }
 
-// Restore reads a snapshot of the same fleet in place of the state.
+// Restore replaces the state with a snapshot of the same fleet. On an error the state is unchanged.
 func (s *State) Restore(data []byte) error {
-	var r snapshot
-	if err := json.Unmarshal(data, &r); err != nil {
+	var snap snapshot
+	if err := json.Unmarshal(data, &snap); err != nil {
 		return fmt.Errorf("ledger: snapshot: %w", err)
 	}
 	switch {
-	case r.Format != format:
-		return fmt.Errorf("ledger: snapshot of format %d, %d is known", r.Format, format)
-	case r.Fleet != s.Fleet:
-		return fmt.Errorf("%w: snapshot of %q, this is %q", ErrForeign, r.Fleet, s.Fleet)
-	case r.Generation < s.Generation:
-		return fmt.Errorf("ledger: snapshot of generation %d, this is %d", r.Generation, s.Generation)
+	case snap.Format != snapshotFormat:
+		return fmt.Errorf("ledger: snapshot has format %d, only %d is supported", snap.Format, snapshotFormat)
+	case snap.Fleet != s.Fleet:
+		return fmt.Errorf("%w: snapshot of %q, this is %q", ErrWrongFleet, snap.Fleet, s.Fleet)
+	case snap.Generation < s.Generation:
+		return fmt.Errorf("ledger: snapshot of generation %d, this is %d", snap.Generation, s.Generation)
 	}
-	if r.Members == nil {
-		r.Members = map[uint64]*member{}
+	if snap.Members == nil {
+		snap.Members = map[uint64]*member{}
 	}
-	for i, m := range r.Members {
-		if m == nil || i > r.Last {
-			return fmt.Errorf("ledger: snapshot: member %d", i)
+	for i, m := range snap.Members {
+		if m == nil || i > snap.Last {
+			return fmt.Errorf("ledger: snapshot: invalid member %d", i)
 		}
-		for _, p := range []*map[string]int64{&m.Granted, &m.Bursts, &m.Floors, &m.Demand} {
-			if *p == nil {
-				*p = map[string]int64{}
+		for _, amounts := range []*map[string]int64{&m.Granted, &m.Bursts, &m.Floors, &m.Demand} {
+			if *amounts == nil {
+				*amounts = map[string]int64{}
 			}
 		}
 	}
-	s.Settings, s.version, s.budgets, s.members, s.last = r.Settings, r.Version, r.Budgets, r.Members, r.Last
+	s.Settings, s.budgetVersion, s.budgets, s.members, s.lastIncarnation = snap.Settings, snap.Version, snap.Budgets, snap.Members, snap.Last
 	return nil
 }
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -1,16 +1,16 @@
-// Package ledger is the state that a fleet's voters replicate: members with their leases, budgets in
-// numbered versions, and grants. State is a pure state machine, the same on every voter; Keeper is
-// what only the leader does, by the clock it is handed. Neither does I/O.
+// Package ledger is the state that a fleet's voters replicate: members with their leases, versioned
+// budgets, and grants. State is a deterministic state machine, the same on every voter. LeaseMonitor finds
+// expired leases on the leader, by the time it is passed. Neither does I/O.
 //
-// The rules that keep a whole from being passed, whatever is lost, doubled or late:
+// These rules keep the members within a budget's total even if messages are lost, duplicated or delayed:
 //
-//   - Granted is the most that a member may be using. It grows when a grant is written, before the
-//     member is told, and only by what no other has.
-//   - It shrinks when the member says what it still holds. With each ask it gives up the answers to all
-//     earlier ones, so that none of those can raise it again.
-//   - A member that says nothing is let lapse after its lease, counted by the leader from when it
-//     learned of the last ask, which is after the member counted its own from before it asked.
-//   - What lapsed members may still use (a floor, pieces held) stays theirs until they are released.
+//   - Granted is the most that a member may be using. It increases when a grant is written, before the
+//     member receives the answer, and only by what no other member has.
+//   - It decreases when the member reports that it uses less. With each renewal the member stops accepting
+//     answers to earlier ones, so that none of those can increase its use again.
+//   - A member that does not renew expires after its lease. The leader measures the lease from when it
+//     learned of the last renewal; the member measures its own from before it sent that renewal.
+//   - What expired members may still use (floors, slots in use) stays granted to them until their release.
 package ledger
 
 import (
@@ -21,131 +21,136 @@
 	"tinroute.example/tinroute/internal/fleet/share"
 )
 
+// member is one incarnation of a member process.
 type member struct {
 	Name    string           `json:"name"`
 	Nonce   uint64           `json:"nonce"`
 	Seq     uint64           `json:"seq"`
-	Lapsed  bool             `json:"lapsed,omitempty"`
+	Expired bool             `json:"lapsed,omitempty"`
 	Granted map[string]int64 `json:"granted"` // the most it may use, by budget
-	Bursts  map[string]int64 `json:"bursts"`  // the most it may have saved up, by budget
-	Floors  map[string]int64 `json:"floors"`  // told to be its after the lease, by budget
+	Bursts  map[string]int64 `json:"bursts"`  // the most tokens it may accumulate, by budget
+	Floors  map[string]int64 `json:"floors"`  // what it was told it may use after the lease, by budget
 	Demand  map[string]int64 `json:"demand,omitempty"`
 }
 
-// State is the machine. It is not safe for concurrent use.
+// State is the replicated state machine. It is not safe for concurrent use.
 type State struct {
 	Settings
-	version uint64
-	budgets []Budget // by name
-	members map[uint64]*member
-	last    uint64 // incarnation
+	budgetVersion   uint64
+	budgets         []Budget           // sorted by name
+	members         map[uint64]*member // by incarnation
+	lastIncarnation uint64
 }
 
-// New returns an empty state. Incarnations of a later generation are higher than any of those before: a
-// member of a ledger that was lost must not be taken for another one of its successor.
+// New returns an empty state. Incarnations of a generation are higher than all those of earlier ones, so that
+// a member of a lost ledger is not mistaken for a member of its successor.
 func New(s Settings) *State {
-	return &State{Settings: s, members: map[uint64]*member{}, last: (max(1, s.Generation) - 1) << generationBits}
+	return &State{Settings: s, members: map[uint64]*member{}, lastIncarnation: (max(1, s.Generation) - 1) << generationShift}
 }
 
-// generationBits are the lower bits of an incarnation, which count within a generation.
-const generationBits = 32
+// generationShift is the number of low bits of an incarnation that count within a generation.
+const generationShift = 32
 
-// Apply takes one command. An error is an answer too, and has changed nothing.
-func (s *State) Apply(c Command) (Answer, error) {
-	a := Answer{Generation: s.Generation, Version: s.version}
-	if c.Fleet != s.Fleet {
-		return a, fmt.Errorf("%w: %q, this is %q", ErrForeign, c.Fleet, s.Fleet)
+// Apply applies one command. An error is also a result: it is the same on every voter and the state is
+// unchanged.
+func (s *State) Apply(cmd Command) (Answer, error) {
+	answer := Answer{Generation: s.Generation, Version: s.budgetVersion}
+	if cmd.Fleet != s.Fleet {
+		return answer, fmt.Errorf("%w: %q, this is %q", ErrWrongFleet, cmd.Fleet, s.Fleet)
 	}
 	var err error
 	switch {
-	case c.Join != nil:
-		a.Incarnation, err = s.join(*c.Join)
-	case c.Ask != nil:
-		a.Incarnation, a.Seq = c.Ask.Incarnation, c.Ask.Seq
-		a.Shares, err = s.ask(*c.Ask)
-	case c.Leave != nil:
-		if s.members[c.Leave.Incarnation] == nil {
-			return a, ErrLapsed
+	case cmd.Join != nil:
+		answer.Incarnation, err = s.join(*cmd.Join)
+	case cmd.Renew != nil:
+		answer.Incarnation, answer.Seq = cmd.Renew.Incarnation, cmd.Renew.Seq
+		answer.Shares, err = s.renew(*cmd.Renew)
+	case cmd.Leave != nil:
+		if s.members[cmd.Leave.Incarnation] == nil {
+			return answer, ErrExpired
 		}
-		delete(s.members, c.Leave.Incarnation)
-	case c.Lapse != nil:
-		err = s.lapse(*c.Lapse)
-	case c.Release != nil:
-		if m := s.members[c.Release.Incarnation]; m == nil || !m.Lapsed {
-			return a, ErrLapsed
+		delete(s.members, cmd.Leave.Incarnation)
+	case cmd.Expire != nil:
+		err = s.expire(*cmd.Expire)
+	case cmd.Release != nil:
+		if m := s.members[cmd.Release.Incarnation]; m == nil || !m.Expired {
+			return answer, ErrExpired
 		}
-		delete(s.members, c.Release.Incarnation)
-	case c.Set != nil:
-		err = s.set(*c.Set)
-		a.Version = s.version
+		delete(s.members, cmd.Release.Incarnation)
+	case cmd.SetBudgets != nil:
+		err = s.setBudgets(*cmd.SetBudgets)
+		answer.Version = s.budgetVersion
 	default:
 		err = errors.New("ledger: an empty command")
 	}
-	return a, err
+	return answer, err
 }
 
+// join adds a member and returns its incarnation.
 func (s *State) join(j Join) (uint64, error) {
 	for i, m := range s.members {
 		if m.Name == j.Name && m.Nonce == j.Nonce {
-			return i, nil // sent twice
+			return i, nil // a repeated join
 		}
 	}
-	if len(s.members) >= s.MostMembers {
-		return 0, ErrFull
+	if len(s.members) >= s.MaxMembers {
+		return 0, ErrTooManyMembers
 	}
-	s.last++
-	s.members[s.last] = &member{Name: j.Name, Nonce: j.Nonce, Granted: map[string]int64{}, Bursts: map[string]int64{}, Floors: map[string]int64{}, Demand: map[string]int64{}}
-	return s.last, nil
+	s.lastIncarnation++
+	s.members[s.lastIncarnation] = &member{Name: j.Name, Nonce: j.Nonce, Granted: map[string]int64{}, Bursts: map[string]int64{}, Floors: map[string]int64{}, Demand: map[string]int64{}}
+	return s.lastIncarnation, nil
 }
 
-func (s *State) ask(a Ask) (map[string]Share, error) {
-	m := s.members[a.Incarnation]
+// renew records a member's usage and returns its new shares. Each share is its target, but it increases only
+// by what is free and is not reduced by a small amount.
+func (s *State) renew(r Renew) (map[string]Share, error) {
+	m := s.members[r.Incarnation]
 	switch {
-	case m == nil || m.Lapsed:
-		return nil, ErrLapsed
-	case a.Seq <= m.Seq:
-		return nil, ErrOld
+	case m == nil || m.Expired:
+		return nil, ErrExpired
+	case r.Seq <= m.Seq:
+		return nil, ErrStale
 	}
-	m.Seq = a.Seq
+	m.Seq = r.Seq
 	shares := map[string]Share{}
 	for _, b := range s.budgets {
-		use := a.Uses[b.Name]
-		m.Demand[b.Name] = max(0, use.Demand)
-		holding := max(0, use.Holding)
-		m.Granted[b.Name] = holding
-		target := s.target(&b, a.Incarnation)
+		usage := r.Usage[b.Name]
+		m.Demand[b.Name] = max(0, usage.Demand)
+		maxUse := max(0, usage.MaxUse)
+		m.Granted[b.Name] = maxUse
+		target := s.targetShare(&b, r.Incarnation)
 		amount := target
-		switch free := b.Whole - s.granted(&b) - s.absent(&b); {
-		case target > holding: // grow by what no other has, once that is written here
-			amount = holding + max(0, min(target-holding, free))
-			if b.Kind == Held {
-				amount -= (amount - holding) % milli
+		switch free := b.Total - s.totalGranted(&b) - s.reservedFloors(&b); {
+		case target > maxUse: // increase only by what no other member has, and record it before answering
+			amount = maxUse + max(0, min(target-maxUse, free))
+			if b.Kind == KindConcurrency {
+				amount -= (amount - maxUse) % unit
 			}
 			m.Granted[b.Name] = amount
-		case free >= 0 && holding-target <= holding/steady: // not worth moving
-			amount = holding
+		case free >= 0 && maxUse-target <= maxUse/reclaimDivisor: // too small a reduction
+			amount = maxUse
 		}
-		sh := Share{Amount: amount, More: target-amount > target/due}
-		if !b.Lend && s.newest(m.Name) == a.Incarnation {
-			if sh.Floor = min(b.Parts[m.Name].Floor, amount); b.Kind == Held {
-				sh.Floor -= sh.Floor % milli
+		granted := Share{Amount: amount, MorePending: target-amount > target/pendingDivisor}
+		if !b.LendFloors && s.newestIncarnation(m.Name) == r.Incarnation {
+			if granted.Floor = min(b.Rules[m.Name].Floor, amount); b.Kind == KindConcurrency {
+				granted.Floor -= granted.Floor % unit
 			}
 		}
-		m.Floors[b.Name] = max(sh.Floor, min(m.Floors[b.Name], holding))
-		if b.Kind == Rate {
-			// The burst is a whole of its own, divided by the same rule.
-			m.Bursts[b.Name] = max(0, use.Burst)
-			sh.Burst = b.burst(amount, s.MostMembers)
-			if more := sh.Burst - m.Bursts[b.Name]; more > 0 {
-				sh.Burst -= more - max(0, min(more, b.Burst-s.bursts(&b)))
-				m.Bursts[b.Name] = max(m.Bursts[b.Name], sh.Burst)
+		m.Floors[b.Name] = max(granted.Floor, min(m.Floors[b.Name], maxUse))
+		if b.Kind == KindRate {
+			// The burst is a total of its own, granted by the same rule.
+			m.Bursts[b.Name] = max(0, usage.Burst)
+			granted.Burst = b.burstFor(amount, s.MaxMembers)
+			if increase := granted.Burst - m.Bursts[b.Name]; increase > 0 {
+				granted.Burst -= increase - max(0, min(increase, b.Burst-s.totalBursts(&b)))
+				m.Bursts[b.Name] = max(m.Bursts[b.Name], granted.Burst)
 			}
 		}
-		shares[b.Name] = sh
+		shares[b.Name] = granted
 	}
-	for name := range m.Granted { // a budget that is gone: the member is told of none, and holds what it says
+	for name := range m.Granted { // a budget that was removed: no share, and what the member reports stays granted
 		if _, ok := shares[name]; !ok {
-			if m.Granted[name] = max(0, a.Uses[name].Holding); m.Granted[name] == 0 {
+			if m.Granted[name] = max(0, r.Usage[name].MaxUse); m.Granted[name] == 0 {
 				delete(m.Granted, name)
 			}
 			delete(m.Floors, name)
@@ -156,28 +161,31 @@
 	return shares, nil
 }
 
-// lapse ends a lease: of what the member was granted it keeps what it may use without one.
-func (s *State) lapse(l Lapse) error {
-	m := s.members[l.Incarnation]
-	if m == nil || m.Lapsed || m.Seq != l.Seq {
-		return ErrLapsed // it has been heard of since, or is over
+// expire ends a lease. Of its rates the member keeps the floors, which it may use without a lease; of its
+// slots it keeps all, as they may be in use.
+func (s *State) expire(e Expire) error {
+	m := s.members[e.Incarnation]
+	if m == nil || m.Expired || m.Seq != e.Seq {
+		return ErrExpired // it has renewed since, has already expired, or is gone
 	}
-	m.Lapsed = true
-	for name, g := range m.Granted {
-		if i := s.find(name); i >= 0 && s.budgets[i].Kind == Rate {
-			m.Granted[name] = min(g, m.Floors[name])
+	m.Expired = true
+	for name, granted := range m.Granted {
+		if i := s.budgetIndex(name); i >= 0 && s.budgets[i].Kind == KindRate {
+			m.Granted[name] = min(granted, m.Floors[name])
 		}
 	}
 	return nil
 }
 
-func (s *State) find(name string) int {
+// budgetIndex returns the index of a budget, -1 if there is none of that name.
+func (s *State) budgetIndex(name string) int {
 	return slices.IndexFunc(s.budgets, func(b Budget) bool { return b.Name == name })
 }
 
-func (s *State) set(c Set) error {
-	if c.Version != s.version+1 && (s.version > 0 || c.Version == 0) { // the first may have any number
-		return fmt.Errorf("%w: %d, %d is the last", ErrVersion, c.Version, s.version)
+// setBudgets validates and replaces the budgets. A budget keeps its kind.
+func (s *State) setBudgets(c SetBudgets) error {
+	if c.Version != s.budgetVersion+1 && (s.budgetVersion > 0 || c.Version == 0) { // the first version may be any number but 0
+		return fmt.Errorf("%w: %d, %d is the last", ErrVersionMismatch, c.Version, s.budgetVersion)
 	}
 	budgets := slices.Clone(c.Budgets)
 	slices.SortFunc(budgets, func(a, b Budget) int {
@@ -187,62 +195,63 @@
 		return 1
 	})
 	for i, b := range budgets {
-		if err := b.check(s.MostMembers); err != nil {
+		if err := b.validate(s.MaxMembers); err != nil {
 			return fmt.Errorf("ledger: budget %q: %w", b.Name, err)
 		}
 		if i > 0 && budgets[i-1].Name == b.Name {
 			return fmt.Errorf("ledger: budget %q: named twice", b.Name)
 		}
-		if k := s.find(b.Name); k >= 0 && s.budgets[k].Kind != b.Kind {
+		if existing := s.budgetIndex(b.Name); existing >= 0 && s.budgets[existing].Kind != b.Kind {
 			return fmt.Errorf("ledger: budget %q: its kind cannot change", b.Name)
 		}
 	}
-	s.version, s.budgets = c.Version, budgets
+	s.budgetVersion, s.budgets = c.Version, budgets
 	return nil
 }
 
-func (b *Budget) check(members int) error {
+// validate checks a budget's fields. The errors name them by their JSON keys.
+func (b *Budget) validate(maxMembers int) error {
 	switch {
 	case b.Name == "":
 		return errors.New("no name")
-	case b.Kind != Rate && b.Kind != Held:
+	case b.Kind != KindRate && b.Kind != KindConcurrency:
 		return fmt.Errorf("kind %q", b.Kind)
-	case b.Whole < 0 || b.Whole > share.Most:
-		return fmt.Errorf("whole %d", b.Whole)
-	case b.Kind == Held && b.Whole%milli != 0:
-		return fmt.Errorf("whole %d: whole pieces only", b.Whole)
-	case b.Kind == Rate && b.Burst < int64(members)*milli:
-		return fmt.Errorf("burst %d: at least a unit for each of %d members", b.Burst, members)
+	case b.Total < 0 || b.Total > share.MaxAmount:
+		return fmt.Errorf("whole %d", b.Total)
+	case b.Kind == KindConcurrency && b.Total%unit != 0:
+		return fmt.Errorf("whole %d: whole pieces only", b.Total)
+	case b.Kind == KindRate && b.Burst < int64(maxMembers)*unit:
+		return fmt.Errorf("burst %d: at least a unit for each of %d members", b.Burst, maxMembers)
 	}
-	for name, p := range b.Parts {
-		if p.Weight < 0 || p.Weight > share.MostWeight/weightUnit || p.Floor < 0 || p.Floor > share.Most || p.Ceiling < 0 || p.Ceiling > share.Most {
-			return fmt.Errorf("%s: weight %d, floor %d, ceiling %d", name, p.Weight, p.Floor, p.Ceiling)
+	for name, rule := range b.Rules {
+		if rule.Weight < 0 || rule.Weight > share.MaxWeight/weightScale || rule.Floor < 0 || rule.Floor > share.MaxAmount || rule.Ceiling < 0 || rule.Ceiling > share.MaxAmount {
+			return fmt.Errorf("%s: weight %d, floor %d, ceiling %d", name, rule.Weight, rule.Floor, rule.Ceiling)
 		}
 	}
 	return nil
 }
 
-// Holder is one member's place in a budget, for those who look.
+// Holder is one member's grant of a budget, as shown to operators.
 type Holder struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
-	Lapsed      bool   `json:"lapsed,omitempty"`
+	Expired     bool   `json:"lapsed,omitempty"`
 	Granted     int64  `json:"granted"`
 	Demand      int64  `json:"demand"`
 }
 
-// Holders lists a budget's holders by incarnation, and the whole; nil where there is no such budget.
-func (s *State) Holders(budget string) (whole int64, holders []Holder) {
-	i := s.find(budget)
+// Holders returns a budget's total and its holders by incarnation, or nil if there is no such budget.
+func (s *State) Holders(budget string) (total int64, holders []Holder) {
+	i := s.budgetIndex(budget)
 	if i < 0 {
 		return 0, nil
 	}
-	for _, n := range s.order() {
+	for _, n := range s.incarnations() {
 		m := s.members[n]
-		holders = append(holders, Holder{m.Name, n, m.Lapsed, m.Granted[budget], m.Demand[budget]})
+		holders = append(holders, Holder{m.Name, n, m.Expired, m.Granted[budget], m.Demand[budget]})
 	}
-	return s.budgets[i].Whole, holders
+	return s.budgets[i].Total, holders
 }
 
-// Version is the number of the budgets in force.
-func (s *State) Version() uint64 { return s.version }
+// BudgetVersion returns the version of the current budgets.
+func (s *State) BudgetVersion() uint64 { return s.budgetVersion }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,6 +1,6 @@
-// Package member is a dispatcher's side of its fleet: it asks the voters for leases and shares, over and
-// over, and admits what its share allows, with no call on the way of a job. What it decides by is
-// budget.Holder, which does no I/O; this package gives it the clock, the calls and the lock.
+// Package member is a dispatcher's client of its fleet's ledger. It periodically renews its lease and shares
+// with the voters and admits what its shares allow, without a remote call per job. The protocol state is
+// budget.Holder, which does no I/O; this package adds the clock, the calls and the locking.
 package member
 
 import (
@@ -18,245 +18,249 @@
 	"tinroute.example/tinroute/internal/fleet/rpc"
 )
 
-// asks is how many times in a lease a member asks: a share outlives an outage of the ledger shorter
-// than the lease less one period.
-const asks = 4
+// renewalsPerLease is how many times per lease a member renews. A share survives an outage of the ledger that
+// is shorter than the lease minus one renewal period.
+const renewalsPerLease = 4
 
-// looks is how many times in a lease a member looks whether to ask early.
-const looks = 20
+// checksPerLease is how many times per lease a member checks whether to renew early.
+const checksPerLease = 20
 
-// Options are a member's.
+// Options configure a member.
 type Options struct {
-	Name   string
-	Fleet  string
-	Terms  ledger.Terms
-	Voters map[string]string    // addresses of the ledger's service by voter, as reached from here
-	Rates  []string             // the budgets that are used here, by name
-	Each   string               // the budget of connections at each worker, empty for none
-	Clock  func() time.Duration // neither steps nor stands still in a suspend
-	Log    *slog.Logger
+	Name             string
+	Fleet            string
+	Timing           ledger.Timing
+	Voters           map[string]string    // addresses of the ledger service by voter name, as reached from here
+	RateBudgets      []string             // names of the rate budgets that are used here
+	ConnectionBudget string               // name of the budget of connections per worker, empty for none
+	Clock            func() time.Duration // must not step, and must count while the machine is suspended
+	Log              *slog.Logger
 }
 
-// Member is a dispatcher's place in its fleet.
+// Member is a dispatcher's membership in its fleet.
 type Member struct {
-	o       Options
-	names   []string // of voters
-	clients map[string]*rpc.Client
-	at      int // the voter that is asked next
-	stop    context.CancelFunc
-	done    sync.WaitGroup
+	opts       Options
+	voterNames []string               // sorted
+	clients    map[string]*rpc.Client // by voter name
+	nextVoter  int                    // index in voterNames of the voter that is called next
+	stop       context.CancelFunc
+	wg         sync.WaitGroup
 
-	mu     sync.Mutex // guards the holder and what it holds
-	holder *budget.Holder
-	rates  []*budget.Rate // of Options.Rates
-	each   *budget.Each   // of Options.Each
+	mu          sync.Mutex // guards the holder and its limiters
+	holder      *budget.Holder
+	rates       []*budget.RateLimiter  // in the order of Options.RateBudgets
+	connections *budget.KeyedSemaphore // nil without Options.ConnectionBudget
 }
 
-// Start joins the fleet in the background. Until the first grant nothing is admitted.
-func Start(o Options) (*Member, error) {
-	m := &Member{o: o, names: slices.Sorted(maps.Keys(o.Voters)), clients: map[string]*rpc.Client{},
-		holder: budget.NewHolder(o.Fleet, o.Name, rand.Uint64(), o.Terms)} // #nosec: tells processes apart, no secret
-	for name, addr := range o.Voters {
-		c, err := rpc.Dial(addr, o.Terms.Lease/asks)
+// Start joins the fleet in the background. Nothing is admitted until the first grant.
+func Start(opts Options) (*Member, error) {
+	m := &Member{opts: opts, voterNames: slices.Sorted(maps.Keys(opts.Voters)), clients: map[string]*rpc.Client{},
+		holder: budget.NewHolder(opts.Fleet, opts.Name, rand.Uint64(), opts.Timing)} // #nosec: distinguishes processes, not a secret
+	for name, addr := range opts.Voters {
+		c, err := rpc.Dial(addr, opts.Timing.Lease/renewalsPerLease)
 		if err != nil {
 			_ = m.closeClients()
 			return nil, err
 		}
 		m.clients[name] = c
 	}
-	for _, name := range o.Rates {
-		m.rates = append(m.rates, m.holder.Rate(name))
+	for _, name := range opts.RateBudgets {
+		m.rates = append(m.rates, m.holder.RateLimiter(name))
 	}
-	if o.Each != "" {
-		m.each = m.holder.Each(o.Each)
+	if opts.ConnectionBudget != "" {
+		m.connections = m.holder.KeyedSemaphore(opts.ConnectionBudget)
 	}
-	m.at = rand.IntN(len(m.names)) // #nosec: the first one listed must not be everyone's first
+	m.nextVoter = rand.IntN(len(m.voterNames)) // #nosec: members must not all call the same voter first
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop = stop
-	m.done.Go(func() { m.keep(ctx) })
+	m.wg.Go(func() { m.renewLoop(ctx) })
 	return m, nil
 }
 
-// Take asks rate i of Options.Rates for n thousandths: admitted, or in how long it could be, by what is
-// granted now; never is true where that is not in sight.
-func (m *Member) Take(i int, n int64) (ok bool, wait time.Duration, never bool) {
+// Take takes amount thousandths from the budget Options.RateBudgets[index]. If they are not
+// available, it returns how long until they would be under the current grant; unavailable is true if the
+// current grant can never admit them.
+func (m *Member) Take(index int, amount int64) (ok bool, wait time.Duration, unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rates[i].Take(m.o.Clock(), n)
+	return m.rates[index].Take(m.opts.Clock(), amount)
 }
 
-// Acquire asks for one more connection to a worker; with Closed and Over it implements link.Limit.
+// Acquire reports whether one more connection to a worker may be opened, and counts it. With Release and
+// Excess it implements link.ConnLimit.
 func (m *Member) Acquire(addr string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.each.Take(m.o.Clock(), addr)
+	return m.connections.TryAcquire(m.opts.Clock(), addr)
 }
 
-// Release gives a connection back.
+// Release counts a connection to a worker as closed.
 func (m *Member) Release(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.each.Give(addr)
+	m.connections.Release(addr)
 }
 
-// Excess is how many connections at a worker are to be closed.
+// Excess returns how many connections to a worker should be closed.
 func (m *Member) Excess(addr string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return int((m.each.Over(m.o.Clock(), addr) + budget.Milli - 1) / budget.Milli)
+	return int((m.connections.Excess(m.opts.Clock(), addr) + budget.Unit - 1) / budget.Unit)
 }
 
-// Use is how one of Options.Rates stands, in thousandths: the share a second, and what was admitted and
-// denied since the start.
-type Use struct {
+// RateUsage is the state of one of Options.RateBudgets, in thousandths: the share per second, and the amounts
+// admitted and denied since the start.
+type RateUsage struct {
 	Budget              string
 	Share, Used, Denied int64
 }
 
-// Uses tells how every rate stands.
-func (m *Member) Uses() (all []Use) {
+// RateUsages returns the state of every rate budget.
+func (m *Member) RateUsages() (all []RateUsage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.o.Clock()
+	now := m.opts.Clock()
 	for i, r := range m.rates {
 		used, denied := r.Counts()
-		all = append(all, Use{m.o.Rates[i], r.Holding(now), used, denied})
+		all = append(all, RateUsage{m.opts.RateBudgets[i], r.MaxUse(now), used, denied})
 	}
 	return all
 }
 
-// Leased tells whether the lease runs, and the version of the budgets last heard of.
-func (m *Member) Leased() (leased bool, version uint64) {
+// LeaseStatus reports whether the lease is valid, and the version of the budgets in the last answer.
+func (m *Member) LeaseStatus() (leased bool, version uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.o.Clock() < m.holder.Ends(), m.holder.Version()
+	return m.opts.Clock() < m.holder.LeaseEnd(), m.holder.BudgetVersion()
 }
 
-// keep asks until the context ends.
-func (m *Member) keep(ctx context.Context) {
-	period := m.o.Terms.Lease / asks
-	var was struct {
+// renewLoop joins the fleet and renews the lease until the context ends.
+func (m *Member) renewLoop(ctx context.Context) {
+	period := m.opts.Timing.Lease / renewalsPerLease
+	var last struct {
 		leased  bool
 		version uint64
 	}
-	first := time.Now() // a start is no failure until a lease's time has gone by
+	startedAt := time.Now() // a missing first lease is logged only after one lease duration
 	for ctx.Err() == nil {
-		began := time.Now()
+		sentAt := time.Now()
 		m.mu.Lock()
 		joining := m.holder.Incarnation() == 0
-		next := m.holder.Next(m.o.Clock())
+		cmd := m.holder.NextCommand(m.opts.Clock())
 		m.mu.Unlock()
-		a, err := m.do(ctx, period, next)
+		answer, err := m.send(ctx, period, cmd)
 		if ctx.Err() != nil {
 			return
 		}
 		m.mu.Lock()
-		m.holder.Answered(m.o.Clock(), a, err)
-		joined := m.holder.Incarnation()
+		m.holder.HandleAnswer(m.opts.Clock(), answer, err)
+		incarnation := m.holder.Incarnation()
 		m.mu.Unlock()
-		if joining && joined != 0 {
-			m.o.Log.Info("joined the fleet", "fleet", m.o.Fleet, "incarnation", joined)
-			continue // its first ask goes out at once
+		if joining && incarnation != 0 {
+			m.opts.Log.Info("joined the fleet", "fleet", m.opts.Fleet, "incarnation", incarnation)
+			continue // send the first renewal immediately
 		}
-		if leased, version := m.Leased(); leased && (!was.leased || version != was.version) {
-			m.o.Log.Info("lease of the fleet's budgets", "version", version)
-			was.leased, was.version, first = true, version, time.Time{}
-		} else if !leased && (was.leased || !first.IsZero() && time.Since(first) > m.o.Terms.Lease) {
-			m.o.Log.Warn("no lease of the fleet's budgets", "err", err)
-			was.leased, first = false, time.Time{}
+		if leased, version := m.LeaseStatus(); leased && (!last.leased || version != last.version) {
+			m.opts.Log.Info("lease on the fleet's budgets granted", "version", version)
+			last.leased, last.version, startedAt = true, version, time.Time{}
+		} else if !leased && (last.leased || !startedAt.IsZero() && time.Since(startedAt) > m.opts.Timing.Lease) {
+			m.opts.Log.Warn("no lease on the fleet's budgets; admitting at most the floors until a renewal succeeds", "err", err)
+			last.leased, startedAt = false, time.Time{}
 		}
-		// Spread by lot: members that started together must not ask together for ever.
+		// Jitter keeps members that started together from renewing together.
 		wait := time.Duration(float64(period) * (0.9 + 0.2*rand.Float64())) // #nosec
 		if err != nil {
-			wait /= asks
+			wait /= renewalsPerLease
 		}
-		m.rest(ctx, began.Add(wait), err == nil)
+		m.waitForRenewal(ctx, sentAt.Add(wait), err == nil)
 	}
 }
 
-// rest waits until the next ask is due, or early where the holder says so and the last ask was answered.
-func (m *Member) rest(ctx context.Context, until time.Time, early bool) {
-	tick := time.NewTicker(m.o.Terms.Lease / looks)
-	defer tick.Stop()
+// waitForRenewal waits until the next renewal is due. If allowEarly is set, it returns as soon as the holder
+// wants to renew early.
+func (m *Member) waitForRenewal(ctx context.Context, until time.Time, allowEarly bool) {
+	ticker := time.NewTicker(m.opts.Timing.Lease / checksPerLease)
+	defer ticker.Stop()
 	for ctx.Err() == nil && time.Now().Before(until) {
 		select {
 		case <-ctx.Done():
-		case <-tick.C:
+		case <-ticker.C:
 			m.mu.Lock()
-			soon := early && m.holder.Early(m.o.Clock())
+			renewNow := allowEarly && m.holder.RenewEarly(m.opts.Clock())
 			m.mu.Unlock()
-			if soon {
+			if renewNow {
 				return
 			}
 		}
 	}
 }
 
-// do puts a command to the voters, the one that answered last first, and follows their word on who
-// leads; one that does not answer in time is passed over for the next.
-func (m *Member) do(ctx context.Context, within time.Duration, c ledger.Command) (a ledger.Answer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// send sends a command to the voters until one gives a final reply. It starts with the voter that answered
+// last, goes on with the leader that a voter names, and otherwise with the next voter in order.
+func (m *Member) send(ctx context.Context, timeout time.Duration, cmd ledger.Command) (answer ledger.Answer, err error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	each := within / time.Duration(min(2, len(m.names))) // a silent voter leaves time for one more
-	for range len(m.names) + 1 {
-		one, done := context.WithTimeout(ctx, each)
-		r, err := m.clients[m.names[m.at]].Do(one, c)
-		done()
-		if r.Final {
-			return r.Answer, err
+	perVoter := timeout / time.Duration(min(2, len(m.voterNames))) // leaves time for a second voter if one does not answer
+	for range len(m.voterNames) + 1 {
+		callCtx, cancelCall := context.WithTimeout(ctx, perVoter)
+		reply, err := m.clients[m.voterNames[m.nextVoter]].Do(callCtx, cmd)
+		cancelCall()
+		if reply.Final {
+			return reply.Answer, err
 		}
-		if at := slices.Index(m.names, r.Leader); at >= 0 && at != m.at {
-			m.at = at
+		if leader := slices.Index(m.voterNames, reply.Leader); leader >= 0 && leader != m.nextVoter {
+			m.nextVoter = leader
 		} else {
-			m.at = (m.at + 1) % len(m.names)
+			m.nextVoter = (m.nextVoter + 1) % len(m.voterNames)
 		}
 		if ctx.Err() != nil {
-			return a, err
+			return answer, err
 		}
 	}
-	return a, errNobody
+	return answer, errNoLeader
 }
 
-// errNobody is the answer where no voter leads, or none is reached.
-var errNobody = errors.New("member: no voter has taken the ask")
+// errNoLeader is returned if no voter is the leader or none could be reached.
+var errNoLeader = errors.New("member: no voter accepted the command")
 
-// Close leaves the fleet, so that its share is free for others at once. Nothing may be admitted after it
-// has been called.
+// Close leaves the fleet, which frees its shares for others immediately. Nothing is admitted after Close.
 func (m *Member) Close() error {
 	m.stop()
-	m.done.Wait()
-	ended := m.connectionsEnded()
+	m.wg.Wait()
+	drained := m.drainConnections()
 	m.mu.Lock()
 	incarnation := m.holder.Incarnation()
-	m.holder = budget.NewHolder(m.o.Fleet, m.o.Name, 0, m.o.Terms)
-	for i, name := range m.o.Rates {
-		m.rates[i] = m.holder.Rate(name)
+	m.holder = budget.NewHolder(m.opts.Fleet, m.opts.Name, 0, m.opts.Timing)
+	for i, name := range m.opts.RateBudgets {
+		m.rates[i] = m.holder.RateLimiter(name)
 	}
 	m.mu.Unlock()
-	if incarnation != 0 && ended { // else what it holds is free once its lease and linger are over
-		if _, err := m.do(context.Background(), m.o.Terms.Lease/asks, ledger.Command{Fleet: m.o.Fleet, Leave: &ledger.Leave{Incarnation: incarnation}}); err != nil {
-			m.o.Log.Info("left the fleet without a word", "err", err)
+	if incarnation != 0 && drained { // otherwise its shares are freed after the lease and the grace period
+		if _, err := m.send(context.Background(), m.opts.Timing.Lease/renewalsPerLease, ledger.Command{Fleet: m.opts.Fleet, Leave: &ledger.Leave{Incarnation: incarnation}}); err != nil {
+			m.opts.Log.Info("could not notify the fleet of leaving; shares are freed after the lease and grace period", "err", err)
 		}
 	}
 	return m.closeClients()
 }
 
-// connectionsEnded opens no more connections, and waits for a short while until all have ended.
-func (m *Member) connectionsEnded() bool {
-	if m.each == nil {
+// drainConnections stops new connections and waits for a part of the lease until all are closed. It reports
+// whether they are.
+func (m *Member) drainConnections() bool {
+	if m.connections == nil {
 		return true
 	}
-	for end := time.Now().Add(m.o.Terms.Lease / asks); ; time.Sleep(m.o.Terms.Lease / asks / looks) {
+	for deadline := time.Now().Add(m.opts.Timing.Lease / renewalsPerLease); ; time.Sleep(m.opts.Timing.Lease / renewalsPerLease / checksPerLease) {
 		m.mu.Lock()
-		m.each.Set(m.o.Clock(), budget.Grant{})
-		most := m.each.Most()
+		m.connections.SetGrant(m.opts.Clock(), budget.Grant{})
+		inUse := m.connections.MaxInUse()
 		m.mu.Unlock()
-		if most == 0 || time.Now().After(end) {
-			return most == 0
+		if inUse == 0 || time.Now().After(deadline) {
+			return inUse == 0
 		}
 	}
 }
 
+// closeClients closes the connections to the voters.
 func (m *Member) closeClients() error {
 	var errs []error
 	for _, c := range m.clients {
--- a/internal/fleet/quorum/quorum.go
+++ b/internal/fleet/quorum/quorum.go
@@ -1,6 +1,6 @@
-// Package quorum carries a fleet's ledger: each voter holds the same log by hashicorp/raft, on its own
-// disk, and applies it to a ledger.State. The leader also lets leases lapse. A voter's peers are
-// reached by its own map of addresses, over the library's transport.
+// Package quorum replicates a fleet's ledger with hashicorp/raft. Each voter keeps the log on its own disk and
+// applies it to a ledger.State. The leader also expires leases. A voter reaches its peers over the library's
+// TCP transport, by its own map of addresses.
 package quorum
 
 import (
@@ -24,143 +24,150 @@
 	"tinroute.example/tinroute/internal/fleet/ledger"
 )
 
-// Options are one voter's.
+// Options configure a voter.
 type Options struct {
-	Name   string            // this voter's, among Voters
-	Voters map[string]string // addresses by name, as seen from here; this voter's own is what it listens at
-	Dir    string            // its log and snapshots
-	Begin  bool              // an operator's word that the fleet begins: an empty folder is right
-	Fleet  ledger.Settings
-	Terms  ledger.Terms
-	Pace   time.Duration              // of heartbeats and elections, 1 s where 0
-	Clock  func() (now time.Duration) // neither steps nor stands still in a suspend
-	Log    *slog.Logger               // none where nil
+	Name              string            // this voter's name in Voters
+	Voters            map[string]string // addresses by name, as reached from here; this voter listens at its own
+	Dir               string            // for the log and snapshots
+	Bootstrap         bool              // start a new fleet if the directory is empty; set by the operator
+	Settings          ledger.Settings
+	Timing            ledger.Timing
+	HeartbeatInterval time.Duration              // also the election timeout; 1 s if 0
+	Clock             func() (now time.Duration) // must not step, and must count while the machine is suspended
+	Log               *slog.Logger               // nil for no logging
 }
 
-// ErrNotLeader is the answer of a voter that does not lead. Nothing was written.
+// ErrNotLeader is returned by a voter that is not the leader. Nothing was written.
 var ErrNotLeader = errors.New("quorum: not the leader")
 
-// ErrEmpty is Start's answer to an empty folder without Begin. A voter that has lost its folder does not
-// know whom it voted for: let in under its name, it could vote twice in one term.
-var ErrEmpty = errors.New("quorum: the voter's folder holds no log")
+// ErrNoState is returned by Start if the directory is empty and Bootstrap is not set. A voter that has lost
+// its directory does not know whom it voted for; if it took part again under its name, it could vote twice in
+// one term.
+var ErrNoState = errors.New("quorum: the voter's directory has no raft log")
 
-// ErrGeneration is the cause where a folder, or a process, is of another fleet or generation than the ledger.
-var ErrGeneration = errors.New("quorum: of another fleet or generation")
+// ErrWrongGeneration reports that a directory, or this voter, belongs to another fleet or generation than the
+// ledger.
+var ErrWrongGeneration = errors.New("quorum: of another fleet or generation")
 
-// ErrUnsure is the answer where a command may or may not have been written.
-var ErrUnsure = errors.New("quorum: may or may not be written")
+// ErrOutcomeUnknown is returned if a command may or may not have been written.
+var ErrOutcomeUnknown = errors.New("quorum: may or may not be written")
 
 const (
-	snapshots = 2
-	conns     = 3
-	// applyWait bounds a command's way to a majority.
-	applyWait = 5 * time.Second
-	lockWait  = time.Second // for the log's file
-	// closeWait bounds the library's end: what it has written is on disk already.
-	closeWait = time.Second
+	retainedSnapshots = 2 // on disk
+	maxPooledConns    = 3 // per peer
+	// applyTimeout limits the wait until a command is committed by a majority.
+	applyTimeout = 5 * time.Second
+	// lockTimeout limits the wait for the lock on the log file.
+	lockTimeout = time.Second
+	// shutdownTimeout limits the wait for raft to stop. What it has acknowledged is on disk already.
+	shutdownTimeout = time.Second
 )
 
-// prefix is before each voter's name in the replicated list: raft turns down votes for one that is not in its
-// list, and so for a voter of another fleet, or of a ledger that was lost.
-func (o *Options) prefix() string { return fmt.Sprintf("%s/%d/", o.Fleet.Fleet, o.Fleet.Generation) }
+// idPrefix returns the prefix of each voter's raft server ID. Raft rejects votes for servers that are not in
+// its configuration, and so those for a voter of another fleet or of a lost ledger.
+func (o *Options) idPrefix() string {
+	return fmt.Sprintf("%s/%d/", o.Settings.Fleet, o.Settings.Generation)
+}
 
-func (o *Options) id(name string) raft.ServerID { return raft.ServerID(o.prefix() + name) }
+// serverID returns a voter's raft server ID.
+func (o *Options) serverID(name string) raft.ServerID { return raft.ServerID(o.idPrefix() + name) }
 
-// ServerAddr is where this process reaches a voter; it implements raft.ServerAddressProvider.
+// ServerAddr returns the address at which this process reaches a voter. It implements
+// raft.ServerAddressProvider.
 func (o *Options) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	name, ours := strings.CutPrefix(string(id), o.prefix())
-	if addr := o.Voters[name]; ours && addr != "" {
+	name, ok := strings.CutPrefix(string(id), o.idPrefix())
+	if addr := o.Voters[name]; ok && addr != "" {
 		return raft.ServerAddress(addr), nil
 	}
-	return "", fmt.Errorf("quorum: no address of voter %q", id)
+	return "", fmt.Errorf("quorum: no address for voter %q", id)
 }
 
-// mark is the file that says whose the folder is.
-const mark = "ledger"
+// identityFile is the file that records which fleet and generation the directory belongs to.
+const identityFile = "ledger"
 
-// marked checks whose the folder is, or writes it where the folder is new.
-func (o *Options) marked(had bool) error {
-	path, want := filepath.Join(o.Dir, mark), o.prefix()
-	if !had {
+// checkIdentity compares the directory's fleet and generation with the settings, or records them if the
+// directory is new.
+func (o *Options) checkIdentity(existing bool) error {
+	path, want := filepath.Join(o.Dir, identityFile), o.idPrefix()
+	if !existing {
 		return os.WriteFile(path, []byte(want), 0o600)
 	}
-	is, err := os.ReadFile(path)
-	if err == nil && string(is) != want {
-		err = fmt.Errorf("the folder is of %s, this is %s", is, want)
+	got, err := os.ReadFile(path)
+	if err == nil && string(got) != want {
+		err = fmt.Errorf("the directory belongs to %s, this voter to %s", got, want)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrGeneration, err)
+		return fmt.Errorf("%w: %w", ErrWrongGeneration, err)
 	}
 	return nil
 }
 
 // Voter is one of a fleet's voters.
 type Voter struct {
-	o      Options
-	raft   *raft.Raft
-	store  *disk
-	trans  *raft.NetworkTransport
-	fsm    *machine
-	stop   chan struct{}
-	keeper sync.WaitGroup
+	opts      Options
+	raft      *raft.Raft
+	store     *checkedStore
+	transport *raft.NetworkTransport
+	fsm       *ledgerFSM
+	stop      chan struct{}
+	wg        sync.WaitGroup
 }
 
-// Start starts a voter from its folder, or anew where Begin says so. Begin is ignored where there is a
-// log already.
-func Start(o Options) (v *Voter, err error) {
-	if o.Voters[o.Name] == "" {
-		return nil, fmt.Errorf("quorum: %q is not among the voters", o.Name)
+// Start starts a voter from the log in its directory, or with a new log if Bootstrap is set and there is none.
+func Start(opts Options) (v *Voter, err error) {
+	if opts.Voters[opts.Name] == "" {
+		return nil, fmt.Errorf("quorum: %q is not among the voters", opts.Name)
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if opts.Log == nil {
+		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Pace <= 0 {
-		o.Pace = time.Second
+	if opts.HeartbeatInterval <= 0 {
+		opts.HeartbeatInterval = time.Second
 	}
-	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(opts.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	c := raft.DefaultConfig()
-	c.LocalID = o.id(o.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = o.Pace, o.Pace, o.Pace/2, o.Pace/20
-	c.Logger = hclog.NewNullLogger()
-	v = &Voter{o: o, fsm: &machine{state: ledger.New(o.Fleet)}, stop: make(chan struct{})}
+	config := raft.DefaultConfig()
+	config.LocalID = opts.serverID(opts.Name)
+	config.HeartbeatTimeout, config.ElectionTimeout, config.LeaderLeaseTimeout, config.CommitTimeout = opts.HeartbeatInterval, opts.HeartbeatInterval, opts.HeartbeatInterval/2, opts.HeartbeatInterval/20
+	config.Logger = hclog.NewNullLogger()
+	v = &Voter{opts: opts, fsm: &ledgerFSM{state: ledger.New(opts.Settings)}, stop: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			_ = v.Close()
 			v = nil
 		}
 	}()
-	// Another process may hold the log, as in an upgrade: that is an error here, not a wait without end.
-	if v.store, err = openDisk(boltdb.Options{Path: filepath.Join(o.Dir, "log.db"), BoltOptions: &bbolt.Options{Timeout: lockWait}}, v.stop); err != nil {
-		return v, fmt.Errorf("quorum: %s: %w", o.Dir, err)
+	// Another process may hold the log, as during an upgrade. That is an error here, not an endless wait.
+	if v.store, err = openStore(boltdb.Options{Path: filepath.Join(opts.Dir, "log.db"), BoltOptions: &bbolt.Options{Timeout: lockTimeout}}, v.stop); err != nil {
+		return v, fmt.Errorf("quorum: %s: %w", opts.Dir, err)
 	}
-	snaps, err := raft.NewFileSnapshotStore(o.Dir, snapshots, io.Discard)
+	snapshots, err := raft.NewFileSnapshotStore(opts.Dir, retainedSnapshots, io.Discard)
 	if err != nil {
 		return v, err
 	}
-	// The replicated list names voters by their ids alone; where each is reached is this process's own map.
-	if v.trans, err = raft.NewTCPTransportWithConfig(o.Voters[o.Name], nil, &raft.NetworkTransportConfig{
-		MaxPool: conns, Timeout: 2 * o.Pace, Logger: c.Logger, ServerAddressProvider: &v.o,
-		// No pipeline: over a link that had been slow its sender and its reader were seen to wait for each
-		// other for ever, and with them the voter's end.
+	// The raft configuration identifies voters only by ID; their addresses come from this process's own map.
+	if v.transport, err = raft.NewTCPTransportWithConfig(opts.Voters[opts.Name], nil, &raft.NetworkTransportConfig{
+		MaxPool: maxPooledConns, Timeout: 2 * opts.HeartbeatInterval, Logger: config.Logger, ServerAddressProvider: &v.opts,
+		// Disables pipelining: after a slow link, the pipeline's sender and reader have deadlocked, which also
+		// kept the voter from closing.
 		MaxRPCsInFlight: 1}); err != nil {
 		return v, err
 	}
-	had, err := raft.HasExistingState(v.store, v.store, snaps)
+	existing, err := raft.HasExistingState(v.store, v.store, snapshots)
 	if err != nil {
 		return v, err
 	}
-	if !had && !o.Begin {
-		return v, fmt.Errorf("%w: %s", ErrEmpty, o.Dir)
+	if !existing && !opts.Bootstrap {
+		return v, fmt.Errorf("%w: %s", ErrNoState, opts.Dir)
 	}
-	if err = o.marked(had); err != nil {
+	if err = opts.checkIdentity(existing); err != nil {
 		return v, err
 	}
-	if !had { // every voter begins with the same list; those that come late are told
+	if !existing { // every voter bootstraps with the same configuration; one that starts late receives it from the others
 		var servers []raft.Server
-		for name := range o.Voters {
-			servers = append(servers, raft.Server{ID: o.id(name), Address: raft.ServerAddress(name)})
+		for name := range opts.Voters {
+			servers = append(servers, raft.Server{ID: opts.serverID(name), Address: raft.ServerAddress(name)})
 		}
 		slices.SortFunc(servers, func(a, b raft.Server) int {
 			if a.ID < b.ID {
@@ -168,184 +175,188 @@
 			}
 			return 1
 		})
-		if err = raft.BootstrapCluster(c, v.store, v.store, snaps, v.trans, raft.Configuration{Servers: servers}); err != nil {
+		if err = raft.BootstrapCluster(config, v.store, v.store, snapshots, v.transport, raft.Configuration{Servers: servers}); err != nil {
 			return v, err
 		}
 	}
-	v.store.runs.Store(true)
-	if v.raft, err = newRaft(c, v.fsm, v.store, snaps, v.trans); err != nil {
+	v.store.raftRunning.Store(true)
+	if v.raft, err = newRaft(config, v.fsm, v.store, snapshots, v.transport); err != nil {
 		return v, err
 	}
-	o.Log.Info("voter", "name", o.Name, "fleet", o.Fleet.Fleet, "anew", !had)
-	v.keeper.Go(v.keep)
+	opts.Log.Info("raft voter started", "name", opts.Name, "fleet", opts.Settings.Fleet, "anew", !existing)
+	v.wg.Go(v.expireLeases)
 	return v, nil
 }
 
-// Apply writes a command and returns what it came to. Only the leader does; ErrUnsure is to be met by
-// asking again, which no command takes for a second one.
-func (v *Voter) Apply(c ledger.Command) (ledger.Answer, error) {
-	data, err := json.Marshal(c)
+// Apply replicates a command and returns its result. Only the leader can apply commands. After
+// ErrOutcomeUnknown the caller should send the command again; applying a command twice has no further effect.
+func (v *Voter) Apply(cmd ledger.Command) (ledger.Answer, error) {
+	data, err := json.Marshal(cmd)
 	if err != nil {
 		return ledger.Answer{}, err
 	}
-	f := v.raft.Apply(data, applyWait)
-	switch err := v.wait(f); {
+	future := v.raft.Apply(data, applyTimeout)
+	switch err := v.waitFuture(future); {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return ledger.Answer{}, ErrNotLeader
 	case err != nil:
-		return ledger.Answer{}, fmt.Errorf("%w: %w", ErrUnsure, err)
+		return ledger.Answer{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	r := f.Response().(result)
+	r := future.Response().(applyResult)
 	return r.answer, r.err
 }
 
-// wait waits for the library, which does not answer all that was handed to it once its disk has failed.
-func (v *Voter) wait(f raft.Future) error {
+// waitFuture waits for a raft operation, or until the voter fails or is closed: raft does not complete all
+// futures once its disk has failed.
+func (v *Voter) waitFuture(future raft.Future) error {
 	done := make(chan error, 1)
-	go func() { done <- f.Error() }()
-	late := time.NewTimer(2 * applyWait)
-	defer late.Stop()
+	go func() { done <- future.Error() }()
+	timeout := time.NewTimer(2 * applyTimeout)
+	defer timeout.Stop()
 	select {
 	case err := <-done:
 		return err
-	case <-v.store.bad:
-		return v.store.why
+	case <-v.store.failed:
+		return v.store.cause
 	case <-v.stop:
 		return raft.ErrRaftShutdown
-	case <-late.C:
+	case <-timeout.C:
 		return raft.ErrEnqueueTimeout
 	}
 }
 
-// Leader is the leader's name as this voter knows it, empty where it knows none.
+// Leader returns the leader's name as known to this voter, empty if it knows none.
 func (v *Voter) Leader() string {
 	_, id := v.raft.LeaderWithID()
-	return strings.TrimPrefix(string(id), v.o.prefix())
+	return strings.TrimPrefix(string(id), v.opts.idPrefix())
 }
 
-// Look calls f with the state, which f must neither keep nor change.
-func (v *Voter) Look(f func(*ledger.State)) {
+// View calls f with the state, which f must not keep or change.
+func (v *Voter) View(f func(*ledger.State)) {
 	v.fsm.mu.Lock()
 	defer v.fsm.mu.Unlock()
 	f(v.fsm.state)
 }
 
-// keep lets leases lapse while this voter leads, each term counting anew.
-func (v *Voter) keep() {
-	k := ledger.Keeper{Terms: v.o.Terms}
-	tick := time.NewTicker(max(v.o.Terms.Lease/10, time.Millisecond))
-	defer tick.Stop()
-	leads, term := false, uint64(0)
+// expireLeases expires leases while this voter is the leader. Each term measures them anew.
+func (v *Voter) expireLeases() {
+	monitor := ledger.LeaseMonitor{Timing: v.opts.Timing}
+	ticker := time.NewTicker(max(v.opts.Timing.Lease/10, time.Millisecond))
+	defer ticker.Stop()
+	leading, term := false, uint64(0)
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-v.stop:
 			return
 		}
-		if !v.listed() {
-			v.store.fail(fmt.Errorf("%w: the others have begun another one", ErrGeneration))
+		if !v.inConfiguration() {
+			v.store.fail(fmt.Errorf("%w: the others have begun another one", ErrWrongGeneration))
 			return
 		}
 		if v.raft.State() != raft.Leader {
-			leads = false
+			leading = false
 			continue
 		}
-		// What earlier leaders wrote has to be applied here before any lease is counted.
-		if now := v.raft.CurrentTerm(); !leads || now != term {
-			if v.wait(v.raft.Barrier(applyWait)) != nil {
+		// Entries of earlier leaders must be applied here before any lease is measured.
+		if current := v.raft.CurrentTerm(); !leading || current != term {
+			if v.waitFuture(v.raft.Barrier(applyTimeout)) != nil {
 				continue
 			}
-			k.Lead()
-			leads, term = true, now
-			v.o.Log.Info("leads", "name", v.o.Name, "term", term)
+			monitor.Reset()
+			leading, term = true, current
+			v.opts.Log.Info("elected leader of the fleet's ledger", "name", v.opts.Name, "term", term)
 		}
 		var due []ledger.Command
-		v.Look(func(s *ledger.State) { due = k.Due(v.o.Clock(), s) })
-		for _, c := range due {
-			if _, err := v.Apply(c); err != nil && !errors.Is(err, ledger.ErrLapsed) {
-				v.o.Log.Warn("lease not ended", "err", err)
+		v.View(func(s *ledger.State) { due = monitor.DueCommands(v.opts.Clock(), s) })
+		for _, cmd := range due {
+			if _, err := v.Apply(cmd); err != nil && !errors.Is(err, ledger.ErrExpired) {
+				v.opts.Log.Warn("expiring a member failed; retrying at the next check", "err", err)
 				break
 			}
 		}
 	}
 }
 
-// Failed is closed once the voter can go on no longer, for the reason that Why tells: it is mute from then
-// on and has to be closed.
-func (v *Voter) Failed() <-chan struct{} { return v.store.bad }
+// Failed returns a channel that is closed when the voter has failed for the reason that Err returns. A failed
+// voter takes no part in raft and must be closed.
+func (v *Voter) Failed() <-chan struct{} { return v.store.failed }
 
-// Why is the reason; only after Failed.
-func (v *Voter) Why() error { return v.store.why }
+// Err returns why the voter failed. It must be called only after the Failed channel is closed.
+func (v *Voter) Err() error { return v.store.cause }
 
-// listed tells whether this voter is in the replicated list, or the list is not known yet.
-func (v *Voter) listed() bool {
+// inConfiguration reports whether this voter is in the raft configuration, or none is known yet.
+func (v *Voter) inConfiguration() bool {
 	f := v.raft.GetConfiguration()
-	if v.wait(f) != nil || len(f.Configuration().Servers) == 0 {
+	if v.waitFuture(f) != nil || len(f.Configuration().Servers) == 0 {
 		return true
 	}
-	return slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == v.o.id(v.o.Name) })
+	return slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == v.opts.serverID(v.opts.Name) })
 }
 
-// Close ends the voter; its folder stays.
+// Close stops the voter and keeps its directory.
 func (v *Voter) Close() error {
-	if v.raft != nil && v.raft.State() == raft.Leader { // else the others have to miss it first
-		handed := make(chan error, 1)
-		go func() { handed <- v.raft.LeadershipTransfer().Error() }()
+	if v.raft != nil && v.raft.State() == raft.Leader { // otherwise the others elect one only after a timeout
+		transferred := make(chan error, 1)
+		go func() { transferred <- v.raft.LeadershipTransfer().Error() }()
 		select {
-		case <-handed:
-		case <-time.After(v.o.Pace):
+		case <-transferred:
+		case <-time.After(v.opts.HeartbeatInterval):
 		}
 	}
 	close(v.stop)
 	var errs []error
 	if v.raft != nil {
-		ended := make(chan error, 1)
-		go func() { ended <- v.raft.Shutdown().Error() }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- v.raft.Shutdown().Error() }()
 		select {
-		case err := <-ended:
+		case err := <-stopped:
 			errs = append(errs, err)
-		case <-time.After(closeWait):
+		case <-time.After(shutdownTimeout):
 		}
 	}
-	v.keeper.Wait()
-	if v.trans != nil {
-		errs = append(errs, v.trans.Close())
+	v.wg.Wait()
+	if v.transport != nil {
+		errs = append(errs, v.transport.Close())
 	}
-	errs = append(errs, v.store.close())
+	errs = append(errs, v.store.closeStore())
 	return errors.Join(errs...)
 }
 
-// machine is the ledger as raft's state machine.
-type machine struct {
+// ledgerFSM implements raft.FSM with a ledger.State.
+type ledgerFSM struct {
 	mu    sync.Mutex
 	state *ledger.State
 }
 
-type result struct {
+// applyResult is what ledgerFSM.Apply returns.
+type applyResult struct {
 	answer ledger.Answer
 	err    error
 }
 
-// Apply takes one entry. One that cannot be read is an answer too: every voter skips it alike.
-func (m *machine) Apply(l *raft.Log) any {
-	var c ledger.Command
-	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return result{err: fmt.Errorf("quorum: entry %d: %w", l.Index, err)}
+// Apply applies one log entry. An entry that cannot be decoded returns an error, and every voter skips it.
+func (m *ledgerFSM) Apply(l *raft.Log) any {
+	var cmd ledger.Command
+	if err := json.Unmarshal(l.Data, &cmd); err != nil {
+		return applyResult{err: fmt.Errorf("quorum: entry %d: %w", l.Index, err)}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a, err := m.state.Apply(c)
-	return result{a, err}
+	a, err := m.state.Apply(cmd)
+	return applyResult{a, err}
 }
 
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot encodes the state for raft.
+func (m *ledgerFSM) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, err := m.state.Snapshot()
-	return image(data), err
+	return snapshotData(data), err
 }
 
-func (m *machine) Restore(r io.ReadCloser) error {
+// Restore replaces the state with a snapshot.
+func (m *ledgerFSM) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -356,13 +367,16 @@
 	return m.state.Restore(data)
 }
 
-type image []byte
+// snapshotData is an encoded snapshot; it implements raft.FSMSnapshot.
+type snapshotData []byte
 
-func (i image) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(i); err != nil {
+// Persist writes the snapshot to the sink.
+func (d snapshotData) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(d); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (image) Release() {}
+// Release implements raft.FSMSnapshot. There is nothing to release.
+func (snapshotData) Release() {}
--- a/internal/fleet/quorum/quorum_test.go
+++ b/internal/fleet/quorum/quorum_test.go
@@ -16,63 +16,68 @@
 	"tinroute.example/tinroute/internal/fleet/ledger"
 )
 
-var began = time.Now()
+var processStart = time.Now()
 
-func clock() time.Duration { return time.Since(began) }
+func clock() time.Duration { return time.Since(processStart) }
 
-type voters struct {
-	t     *testing.T
-	addrs map[string]string
-	dir   string
-	lease time.Duration // 400 ms where 0
-	up    map[string]*Voter
+// cluster starts and stops the voters of a test.
+type cluster struct {
+	t       *testing.T
+	addrs   map[string]string
+	dir     string
+	lease   time.Duration // 400 ms if 0
+	running map[string]*Voter
 }
 
-// newVoters are n of them with free addresses, none started.
-func newVoters(t *testing.T, n int) *voters {
-	v := &voters{t: t, addrs: map[string]string{}, dir: t.TempDir(), up: map[string]*Voter{}}
+// newCluster returns a cluster of n voters with free addresses; none is started.
+func newCluster(t *testing.T, n int) *cluster {
+	c := &cluster{t: t, addrs: map[string]string{}, dir: t.TempDir(), running: map[string]*Voter{}}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		v.addrs[fmt.Sprint("n", i)] = l.Addr().String()
+		c.addrs[fmt.Sprint("n", i)] = l.Addr().String()
 		require.NoError(t, l.Close())
 	}
-	return v
+	return c
 }
 
-func (v *voters) start(name string, begin bool) {
-	x, err := v.try(name, begin)
-	require.NoError(v.t, err)
-	v.up[name] = x
+// start starts a voter and adds it to the running ones.
+func (c *cluster) start(name string, bootstrap bool) {
+	voter, err := c.startVoter(name, bootstrap)
+	require.NoError(c.t, err)
+	c.running[name] = voter
 }
 
-func (v *voters) try(name string, begin bool) (*Voter, error) {
-	lease := cmp.Or(v.lease, 400*time.Millisecond)
-	return Start(Options{Begin: begin, Name: name, Voters: v.addrs, Dir: filepath.Join(v.dir, name), Fleet: ledger.Settings{Fleet: "f", Generation: 1, MostMembers: 8},
-		Terms: ledger.Terms{Lease: lease, Linger: 400 * time.Millisecond, Drift: 0.01}, Pace: 150 * time.Millisecond, Clock: clock})
+// startVoter starts a voter from its directory.
+func (c *cluster) startVoter(name string, bootstrap bool) (*Voter, error) {
+	lease := cmp.Or(c.lease, 400*time.Millisecond)
+	return Start(Options{Bootstrap: bootstrap, Name: name, Voters: c.addrs, Dir: filepath.Join(c.dir, name), Settings: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 8},
+		Timing: ledger.Timing{Lease: lease, GracePeriod: 400 * time.Millisecond, MaxDrift: 0.01}, HeartbeatInterval: 150 * time.Millisecond, Clock: clock})
 }
 
-func (v *voters) stop(name string) {
-	require.NoError(v.t, v.up[name].Close())
-	delete(v.up, name)
+// stop closes a running voter.
+func (c *cluster) stop(name string) {
+	require.NoError(c.t, c.running[name].Close())
+	delete(c.running, name)
 }
 
-// do puts a command to whoever leads, until one takes it.
-func (v *voters) do(c ledger.Command) (a ledger.Answer, err error) {
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		for _, x := range v.up {
-			if a, err = x.Apply(c); !errors.Is(err, ErrNotLeader) && !errors.Is(err, ErrUnsure) {
-				return a, err
+// apply sends a command to all voters until the leader accepts it.
+func (c *cluster) apply(cmd ledger.Command) (answer ledger.Answer, err error) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		for _, voter := range c.running {
+			if answer, err = voter.Apply(cmd); !errors.Is(err, ErrNotLeader) && !errors.Is(err, ErrOutcomeUnknown) {
+				return answer, err
 			}
 		}
 	}
-	return a, err
+	return answer, err
 }
 
-func (v *voters) leader() (name string) {
-	require.Eventually(v.t, func() bool {
-		for _, x := range v.up {
-			if name = x.Leader(); v.up[name] != nil {
+// leader waits until a running voter is the leader and returns its name.
+func (c *cluster) leader() (name string) {
+	require.Eventually(c.t, func() bool {
+		for _, voter := range c.running {
+			if name = voter.Leader(); c.running[name] != nil {
 				return true
 			}
 		}
@@ -81,70 +86,69 @@
 	return name
 }
 
-// A leader dies with a budget given out: the others know what is granted, a lease that nobody renews
-// lapses under the new one and its share moves, and the dead one comes back from its folder to the
-// same state.
-func TestALeaderDiesAndItsBudgetMoves(t *testing.T) {
-	v := newVoters(t, 3)
-	for name := range v.addrs {
-		v.start(name, true)
+// The leader stops while a budget is granted. The others know the grants, the new leader expires a lease that
+// is not renewed, and its share moves. The stopped voter restarts from its directory with the same state.
+func TestBudgetMovesAfterLeaderStops(t *testing.T) {
+	c := newCluster(t, 3)
+	for name := range c.addrs {
+		c.start(name, true)
 	}
-	_, err := v.do(ledger.Command{Fleet: "f", Set: &ledger.Set{Version: 1, Budgets: []ledger.Budget{{Name: "b", Kind: ledger.Held, Whole: 6000}}}})
-	if !errors.Is(err, ledger.ErrVersion) { // written already, where the first word on it was unsure
+	_, err := c.apply(ledger.Command{Fleet: "f", SetBudgets: &ledger.SetBudgets{Version: 1, Budgets: []ledger.Budget{{Name: "b", Kind: ledger.KindConcurrency, Total: 6000}}}})
+	if !errors.Is(err, ledger.ErrVersionMismatch) { // already written, if the first attempt's outcome was unknown
 		require.NoError(t, err)
 	}
-	terms := ledger.Terms{Lease: 400 * time.Millisecond, Linger: 400 * time.Millisecond, Drift: 0.01}
-	one, two := budget.NewHolder("f", "one", 1, terms), budget.NewHolder("f", "two", 2, terms)
-	step := func(h *budget.Holder) {
-		x := h.Held("b")
-		x.Take(clock()) // wants more than it has
-		a, err := v.do(h.Next(clock()))
-		h.Answered(clock(), a, err)
+	timing := ledger.Timing{Lease: 400 * time.Millisecond, GracePeriod: 400 * time.Millisecond, MaxDrift: 0.01}
+	first, second := budget.NewHolder("f", "one", 1, timing), budget.NewHolder("f", "two", 2, timing)
+	renew := func(h *budget.Holder) {
+		sem := h.Semaphore("b")
+		sem.TryAcquire(clock()) // demands more than it has
+		a, err := c.apply(h.NextCommand(clock()))
+		h.HandleAnswer(clock(), a, err)
 	}
 	for range 3 {
-		step(one)
+		renew(first)
 	}
-	require.Positive(t, one.Held("b").Held())
+	require.Positive(t, first.Semaphore("b").InUse())
 
-	dead := v.leader()
-	v.stop(dead)
-	// The first holder is gone with it; the second gets all once the first's lease and what it held are
-	// surely over, and never before: no moment sees more granted than there is.
+	stopped := c.leader()
+	c.stop(stopped)
+	// The first holder does not renew any more. The second gets the whole total once the first one's lease and
+	// grace period have ended. At no time is more than the total granted.
 	require.Eventually(t, func() bool {
-		step(two)
-		for _, x := range v.up {
-			x.Look(func(s *ledger.State) {
-				whole, holders := s.Holders("b")
+		renew(second)
+		for _, voter := range c.running {
+			voter.View(func(s *ledger.State) {
+				total, holders := s.Holders("b")
 				sum := int64(0)
 				for _, h := range holders {
 					sum += h.Granted
 				}
-				require.LessOrEqual(t, sum, whole)
+				require.LessOrEqual(t, sum, total)
 			})
 		}
-		return two.Held("b").Held() == 6000
+		return second.Semaphore("b").InUse() == 6000
 	}, 20*time.Second, 20*time.Millisecond)
 
-	folder := filepath.Join(v.dir, dead)
-	require.NoError(t, os.Rename(folder, folder+".away"))
-	_, err = v.try(dead, false)
-	require.ErrorIs(t, err, ErrEmpty, "a voter that has lost its folder must not vote as if it had one")
-	require.NoError(t, os.RemoveAll(folder))
-	require.NoError(t, os.Rename(folder+".away", folder))
-	v.start(dead, false)
-	want := func(s *ledger.State) string {
+	dir := filepath.Join(c.dir, stopped)
+	require.NoError(t, os.Rename(dir, dir+".away"))
+	_, err = c.startVoter(stopped, false)
+	require.ErrorIs(t, err, ErrNoState, "a voter that has lost its directory must not vote")
+	require.NoError(t, os.RemoveAll(dir))
+	require.NoError(t, os.Rename(dir+".away", dir))
+	c.start(stopped, false)
+	snapshot := func(s *ledger.State) string {
 		data, err := s.Snapshot()
 		require.NoError(t, err)
 		return string(data)
 	}
 	require.Eventually(t, func() bool {
 		var states []string
-		for _, x := range v.up {
-			x.Look(func(s *ledger.State) { states = append(states, want(s)) })
+		for _, voter := range c.running {
+			voter.View(func(s *ledger.State) { states = append(states, snapshot(s)) })
 		}
 		return len(states) == 3 && states[0] == states[1] && states[1] == states[2]
 	}, 20*time.Second, 5*time.Millisecond)
-	for name := range v.addrs {
-		v.stop(name)
+	for name := range c.addrs {
+		c.stop(name)
 	}
 }
--- a/internal/fleet/rpc/rpc.go
+++ b/internal/fleet/rpc/rpc.go
@@ -1,7 +1,6 @@
-// Package rpc carries a ledger's commands between dispatchers over gRPC. A call's body is the command as
-// the log keeps it, so that there is one form of it; the reply names the ledger's error, and the leader
-// where it is another voter. There is no TLS and no sign-in: the network between dispatchers has to be
-// trusted.
+// Package rpc sends a ledger's commands between dispatchers over gRPC. A call's body is the command as JSON,
+// the same encoding as in the raft log. The reply names the ledger's error, and the leader if that is
+// another voter. There is no TLS and no authentication: the network between dispatchers must be trusted.
 package rpc
 
 import (
@@ -25,75 +24,77 @@
 )
 
 const (
-	service = "tinroute.fleet.v1.Ledger"
-	// mostBody bounds what either side reads.
-	mostBody = 1 << 20
-	// spare connections beside one for each member: status words, other voters.
-	spare = 16
+	serviceName = "tinroute.fleet.v1.Ledger"
+	// maxBody is the largest request that a server reads. A client reads replies of up to 16 times that.
+	maxBody = 1 << 20
+	// spareConns is how many connections are allowed beside one per member, for status requests and other
+	// voters. It also limits the concurrent calls per connection.
+	spareConns = 16
 )
 
-// Voter is what a server answers from; quorum.Voter in service.
+// Voter applies commands and shows the state; quorum.Voter implements it.
 type Voter interface {
 	Apply(ledger.Command) (ledger.Answer, error)
 	Leader() string
-	Look(func(*ledger.State))
+	View(func(*ledger.State))
 }
 
-// known are the errors that a caller can act on, by their names on the wire.
-var known = map[string]error{"foreign": ledger.ErrForeign, "lapsed": ledger.ErrLapsed, "old": ledger.ErrOld,
-	"full": ledger.ErrFull, "version": ledger.ErrVersion, "not leader": quorum.ErrNotLeader, "unsure": quorum.ErrUnsure}
+// wireErrors are the errors that a caller can act on, by the names that replies give them.
+var wireErrors = map[string]error{"foreign": ledger.ErrWrongFleet, "lapsed": ledger.ErrExpired, "old": ledger.ErrStale,
+	"full": ledger.ErrTooManyMembers, "version": ledger.ErrVersionMismatch, "not leader": quorum.ErrNotLeader, "unsure": quorum.ErrOutcomeUnknown}
 
+// reply is the encoded answer to Do.
 type reply struct {
 	Answer ledger.Answer `json:"answer"`
-	Err    string        `json:"err,omitempty"` // a name of known, "other" for any else
+	Err    string        `json:"err,omitempty"` // a key of wireErrors, "other" for any other error, empty for none
 	Text   string        `json:"text,omitempty"`
 	Leader string        `json:"leader,omitempty"`
 }
 
-// Server answers at a listener until Close.
+// Server serves a voter's ledger until it is closed.
 type Server struct{ grpc *grpc.Server }
 
-// Serve begins to answer. Members bounds how many connections are held at once.
-func Serve(l net.Listener, v Voter, members int) *Server {
-	s := &Server{grpc.NewServer(grpc.MaxRecvMsgSize(mostBody), grpc.MaxConcurrentStreams(spare), grpc.ConnectionTimeout(3*time.Second))}
-	s.grpc.RegisterService(&grpc.ServiceDesc{ServiceName: service, HandlerType: (*any)(nil), Methods: []grpc.MethodDesc{
-		method("Do", func(in []byte) (any, error) {
-			var c ledger.Command
-			if err := json.Unmarshal(in, &c); err != nil {
+// Serve starts a server on a listener. It accepts at most maxMembers + spareConns connections at once.
+func Serve(listener net.Listener, voter Voter, maxMembers int) *Server {
+	server := &Server{grpc.NewServer(grpc.MaxRecvMsgSize(maxBody), grpc.MaxConcurrentStreams(spareConns), grpc.ConnectionTimeout(3*time.Second))}
+	server.grpc.RegisterService(&grpc.ServiceDesc{ServiceName: serviceName, HandlerType: (*any)(nil), Methods: []grpc.MethodDesc{
+		unaryMethod("Do", func(in []byte) (any, error) {
+			var cmd ledger.Command
+			if err := json.Unmarshal(in, &cmd); err != nil {
 				return nil, status.Error(codes.InvalidArgument, "not a command")
 			}
 			r := reply{}
 			var err error
-			if r.Answer, err = v.Apply(c); err != nil {
+			if r.Answer, err = voter.Apply(cmd); err != nil {
 				r.Err, r.Text = "other", err.Error()
-				for name, e := range known {
+				for name, e := range wireErrors {
 					if errors.Is(err, e) {
 						r.Err = name
 					}
 				}
-				r.Leader = v.Leader()
+				r.Leader = voter.Leader()
 			}
 			return r, nil
 		}),
-		method("Look", func([]byte) (any, error) {
+		unaryMethod("Look", func([]byte) (any, error) {
 			var o ledger.Overview
-			v.Look(func(s *ledger.State) { o = s.Overview() })
-			o.Leader = v.Leader()
+			voter.View(func(state *ledger.State) { o = state.Overview() })
+			o.Leader = voter.Leader()
 			return o, nil
 		}),
 	}}, nil)
-	go func() { _ = s.grpc.Serve(netutil.LimitListener(l, members+spare)) }()
-	return s
+	go func() { _ = server.grpc.Serve(netutil.LimitListener(listener, maxMembers+spareConns)) }()
+	return server
 }
 
-// method is one call from bytes to something written as JSON.
-func method(name string, f func(in []byte) (any, error)) grpc.MethodDesc {
+// unaryMethod describes a method whose request is bytes and whose response is encoded as JSON.
+func unaryMethod(name string, handle func(in []byte) (any, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(_ any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		in := &wrapperspb.BytesValue{}
 		if err := decode(in); err != nil {
 			return nil, err
 		}
-		out, err := f(in.Value)
+		out, err := handle(in.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -102,68 +103,70 @@
 	}}
 }
 
-// Close ends at once: what was asked and is not answered is asked again.
+// Close stops the server immediately. Clients repeat requests that are in progress.
 func (s *Server) Close() { s.grpc.Stop() }
 
-// Client speaks to one voter.
+// Client calls one voter.
 type Client struct{ conn *grpc.ClientConn }
 
-// Dial makes a client of the voter at an address; nothing is sent before the first call. Within bounds
-// the wait between two tries at a connection.
-func Dial(addr string, within time.Duration) (*Client, error) {
+// Dial returns a client of the voter at an address. It connects at the first call. maxBackoff limits the wait
+// between connection attempts.
+func Dial(addr string, maxBackoff time.Duration) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16*mostBody)), grpc.WithDisableServiceConfig(), grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff: backoff.Config{BaseDelay: within / 8, Multiplier: 1.6, Jitter: 0.2, MaxDelay: within}, MinConnectTimeout: within}))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16*maxBody)), grpc.WithDisableServiceConfig(), grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff: backoff.Config{BaseDelay: maxBackoff / 8, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff}, MinConnectTimeout: maxBackoff}))
 	if err != nil {
 		return nil, err
 	}
 	return &Client{conn}, nil
 }
 
-func (c *Client) call(ctx context.Context, name string, in, out any) error {
+// call invokes a method with in as JSON and decodes its response into out.
+func (c *Client) call(ctx context.Context, method string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
 	r := &wrapperspb.BytesValue{}
-	if err := c.conn.Invoke(ctx, "/"+service+"/"+name, &wrapperspb.BytesValue{Value: data}, r); err != nil {
+	if err := c.conn.Invoke(ctx, "/"+serviceName+"/"+method, &wrapperspb.BytesValue{Value: data}, r); err != nil {
 		return err
 	}
 	return json.Unmarshal(r.Value, out)
 }
 
-// Reply is what a voter made of a command.
+// Reply is a voter's reply to a command.
 type Reply struct {
 	Answer ledger.Answer
-	Leader string // who leads, as far as the voter knows, where it does not
-	Final  bool   // it is the ledger's own word; else the command is to be put again, perhaps elsewhere
+	Leader string // with an error, the leader as far as the voter knows
+	Final  bool   // the ledger's own result; otherwise the command should be sent again, perhaps to another voter
 }
 
-// Do puts a command. An error of a Reply that is not Final leaves open whether it was written.
+// Do sends a command. After an error with a Reply that is not Final, the command may or may not have been
+// written.
 func (c *Client) Do(ctx context.Context, cmd ledger.Command) (Reply, error) {
-	r := reply{}
-	if err := c.call(ctx, "Do", cmd, &r); err != nil {
+	wire := reply{}
+	if err := c.call(ctx, "Do", cmd, &wire); err != nil {
 		return Reply{}, err
 	}
-	out := Reply{Answer: r.Answer, Leader: r.Leader}
-	err := known[r.Err]
+	result := Reply{Answer: wire.Answer, Leader: wire.Leader}
+	err := wireErrors[wire.Err]
 	switch {
-	case r.Err == "":
-		out.Final = true
-		return out, nil
+	case wire.Err == "":
+		result.Final = true
+		return result, nil
 	case err == nil:
-		out.Final = true
-		return out, errors.New(r.Text)
+		result.Final = true
+		return result, errors.New(wire.Text)
 	}
-	out.Final = !errors.Is(err, quorum.ErrNotLeader) && !errors.Is(err, quorum.ErrUnsure)
-	return out, fmt.Errorf("%w (%s)", err, r.Text)
+	result.Final = !errors.Is(err, quorum.ErrNotLeader) && !errors.Is(err, quorum.ErrOutcomeUnknown)
+	return result, fmt.Errorf("%w (%s)", err, wire.Text)
 }
 
-// Look reads what the voter holds, which may be behind the leader's.
-func (c *Client) Look(ctx context.Context) (o ledger.Overview, err error) {
+// Overview returns the voter's state, which may be behind the leader's.
+func (c *Client) Overview(ctx context.Context) (o ledger.Overview, err error) {
 	err = c.call(ctx, "Look", struct{}{}, &o)
 	return o, err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,61 +1,62 @@
-// Package share divides a whole among claims: a floor for each first, then max-min fair by weight up
-// to what each asks for, then what is left by weight up to each ceiling. It does no I/O, has no clock
-// and counts in integers: the voters of a ledger must come to the same division on every machine.
+// Package share divides a total among claims: first each claim's floor, then weighted max-min fair up to
+// each claim's demand, then the rest by weight up to each ceiling. It does no I/O, has no clock and uses
+// integer arithmetic, because the voters of a ledger must compute the same division on every machine.
 package share
 
 import "math/bits"
 
-// Most bounds wholes, floors, ceilings and demands, and MostWeight weights, so that no product of
-// the two overflows.
+// MaxAmount is the limit for totals, floors, ceilings and demands, and MaxWeight the limit for weights, so
+// that no product of the two overflows.
 const (
-	Most       = int64(1) << 42
-	MostWeight = int64(1) << 20
+	MaxAmount = int64(1) << 42
+	MaxWeight = int64(1) << 20
 )
 
-// Claim is what one holder claims of a whole. All figures are in the whole's unit.
+// Claim is one holder's claim on a total. Amounts are in the total's unit.
 type Claim struct {
 	Weight  int64 // above 0
 	Demand  int64 // what it would use now
-	Floor   int64 // is its in any case
-	Ceiling int64 // the most it may have, 0 for no bound
+	Floor   int64 // guaranteed, whatever the demand
+	Ceiling int64 // the most it may have, 0 for no limit
 }
 
-// Divide returns what each claim gets, at most the whole together. Floors that come to more than the
-// whole are cut in proportion. With the same claims in the same order it gives the same division.
-func Divide(whole int64, claims []Claim) []int64 {
-	got := make([]int64, len(claims))
-	left := max(0, min(whole, Most))
+// Divide returns the amount for each claim; their sum is at most total. Floors whose sum exceeds the total
+// are reduced in proportion. The result depends only on the total and the claims in their order.
+func Divide(total int64, claims []Claim) []int64 {
+	amounts := make([]int64, len(claims))
+	remaining := max(0, min(total, MaxAmount))
 	floors := int64(0)
 	for _, c := range claims {
 		floors += c.floor()
 	}
 	for i, c := range claims {
-		if got[i] = c.floor(); floors > left { // scaled by weights of their own, which keeps the product in bounds
-			got[i] = Scale(left, c.floor(), floors)
+		if amounts[i] = c.floor(); floors > remaining { // reduce in proportion; MulDiv does not overflow
+			amounts[i] = MulDiv(remaining, c.floor(), floors)
 		}
 	}
-	for _, g := range got {
-		left -= g
+	for _, a := range amounts {
+		remaining -= a
 	}
-	if left <= 0 {
-		return got
+	if remaining <= 0 {
+		return amounts
 	}
-	// To what each asks for: all rise together by weight, from their floors on, until the whole is out.
-	least := make([]int64, len(claims))
-	most := make([]int64, len(claims))
+	// Up to each demand: raise all claims together by weight, starting from the floors, until the total is
+	// used up.
+	lower := make([]int64, len(claims))
+	upper := make([]int64, len(claims))
 	for i, c := range claims {
-		least[i], most[i] = got[i], max(got[i], min(c.Demand, c.top()))
+		lower[i], upper[i] = amounts[i], max(amounts[i], min(c.Demand, c.ceiling()))
 	}
-	got = rise(left+sum(got), claims, least, most)
-	// What is over goes on top, by weight, up to each ceiling.
-	clear(least)
+	amounts = waterFill(remaining+sum(amounts), claims, lower, upper)
+	// Divide the rest on top of that, by weight, up to each ceiling.
+	clear(lower)
 	for i, c := range claims {
-		most[i] = max(0, c.top()-got[i])
+		upper[i] = max(0, c.ceiling()-amounts[i])
 	}
-	for i, more := range rise(max(0, min(whole, Most))-sum(got), claims, least, most) {
-		got[i] += more
+	for i, extra := range waterFill(max(0, min(total, MaxAmount))-sum(amounts), claims, lower, upper) {
+		amounts[i] += extra
 	}
-	return got
+	return amounts
 }
 
 func sum(x []int64) (s int64) {
@@ -65,56 +66,57 @@
 	return s
 }
 
-// rise gives each claim its weight's part of the highest common level, but no less than least and no
-// more than most, with no more than the whole given away.
-func rise(whole int64, claims []Claim, least, most []int64) []int64 {
-	got := make([]int64, len(claims))
-	at := func(level uint64) []int64 {
+// waterFill finds the highest common level at which the amounts, level * weight limited to lower and upper,
+// add up to no more than total, and returns these amounts.
+func waterFill(total int64, claims []Claim, lower, upper []int64) []int64 {
+	amounts := make([]int64, len(claims))
+	amountsAt := func(level uint64) []int64 {
 		for i, c := range claims {
 			hi, lo := bits.Mul64(level, uint64(c.weight()))
-			part := most[i]
-			if hi < 1<<(levelBits-1) {
-				part = min(part, int64(hi<<(64-levelBits)|lo>>levelBits))
+			amount := upper[i]
+			if hi < 1<<(levelFractionBits-1) {
+				amount = min(amount, int64(hi<<(64-levelFractionBits)|lo>>levelFractionBits))
 			}
-			got[i] = max(least[i], part)
+			amounts[i] = max(lower[i], amount)
 		}
-		return got
+		return amounts
 	}
-	low, high := uint64(0), uint64(Most)<<levelBits
-	if sum(at(high)) <= whole {
-		return got
+	low, high := uint64(0), uint64(MaxAmount)<<levelFractionBits
+	if sum(amountsAt(high)) <= total {
+		return amounts
 	}
 	for high-low > 1 {
-		if mid := low + (high-low)/2; sum(at(mid)) <= whole {
+		if mid := low + (high-low)/2; sum(amountsAt(mid)) <= total {
 			low = mid
 		} else {
 			high = mid
 		}
 	}
-	return at(low)
+	return amountsAt(low)
 }
 
-// levelBits are the binary places of a level.
-const levelBits = 20
+// levelFractionBits is the number of fraction bits of a level, which is a fixed-point number.
+const levelFractionBits = 20
 
-func (c Claim) top() int64 {
+// ceiling returns Ceiling limited to MaxAmount, or MaxAmount if there is none.
+func (c Claim) ceiling() int64 {
 	if c.Ceiling > 0 {
-		return min(c.Ceiling, Most)
+		return min(c.Ceiling, MaxAmount)
 	}
-	return Most
+	return MaxAmount
 }
 
-func (c Claim) floor() int64 { return max(0, min(c.Floor, c.top())) }
+func (c Claim) floor() int64 { return max(0, min(c.Floor, c.ceiling())) }
 
-func (c Claim) weight() int64 { return max(1, min(c.Weight, MostWeight)) }
+func (c Claim) weight() int64 { return max(1, min(c.Weight, MaxWeight)) }
 
-// Scale is a*b/c, rounded down, for a up to Most and 0 <= b <= c. Where c is over MostWeight b/c is
-// taken to 20 bits, and never for more than it is.
-func Scale(a, b, c int64) int64 {
+// MulDiv returns a*b/c, rounded down, for a up to MaxAmount and 0 <= b <= c. If c is above MaxWeight, b/c is
+// approximated from below to 20 bits, so that the product does not overflow.
+func MulDiv(a, b, c int64) int64 {
 	if c <= 0 {
 		return 0
 	}
-	for c > MostWeight {
+	for c > MaxWeight {
 		b, c = b/2, (c+1)/2
 	}
 	return a * b / c
--- a/internal/lab/rig/rehearse.go
+++ b/internal/lab/rig/rehearse.go
@@ -279,7 +279,7 @@
 		b := o.Budgets[0]
 		has := map[string]int64{}
 		for _, h := range b.Holders {
-			if !h.Lapsed {
+			if !h.Expired {
 				has[h.Name] += h.Granted
 			}
 		}
@@ -290,6 +290,6 @@
 			}
 			sum += has[n]
 		}
-		return sum >= b.Whole*95/100
+		return sum >= b.Total*95/100
 	}
 }
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -148,10 +148,10 @@
 	defer func() { _ = c.Close() }()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	o, err := c.Look(ctx)
+	o, err := c.Overview(ctx)
 	if err == nil {
 		for _, b := range o.Budgets {
-			r.History.add(Event{What: "granted", Who: r.disp[voter].Name, Amount: b.Granted, Whole: b.Whole})
+			r.History.add(Event{What: "granted", Who: r.disp[voter].Name, Amount: b.Granted, Whole: b.Total})
 		}
 	}
 	return o, err
--- a/internal/telemetry/export.go
+++ b/internal/telemetry/export.go
@@ -250,13 +250,13 @@
 
 // RegisterFleetGauges registers gauges for the figures of the fleet's budgets. readFigures is called once
 // for each export.
-func (t *Telemetry) RegisterFleetGauges(readFigures func() []fleet.Figure) error {
+func (t *Telemetry) RegisterFleetGauges(readFigures func() []fleet.Measurement) error {
 	if t.meter == nil {
 		return nil
 	}
 	gauges := map[string]metric.Float64ObservableGauge{}
 	var observables []metric.Observable
-	for name, description := range fleet.Figures {
+	for name, description := range fleet.MetricDescriptions {
 		gauge, err := t.meter.Float64ObservableGauge(name, metric.WithDescription(description))
 		if err != nil {
 			return err
