--- a/internal/background/scheduler_test.go
+++ b/internal/background/scheduler_test.go
@@ -123,7 +123,7 @@
 
 // A scheduled job starts at its time by the system clock, even if that clock is set back and
 // forward while the job waits. Once offered, its backoff uses the monotonic clock of the process.
-func TestSystemClockIsSet(t *testing.T) {
+func TestScheduledJobFollowsSystemClock(t *testing.T) {
 	fx := newFixture(t)
 	now := time.Unix(0, fx.wallClock.Load())
 	fx.accept(t, now.Add(time.Hour))
--- a/internal/background/send_records.go
+++ b/internal/background/send_records.go
@@ -51,15 +51,15 @@
 func (s *Scheduler) RetractSend(id uint64) {
 	s.mu.Lock()
 	job := s.active[id]
-	tracked := false
+	retract := false
 	if job != nil && job.stored.State.FirstSend != nil {
 		class := s.server.Class(job.stored.Job.Function)
-		if tracked = class != nil && class.Idempotency != balance.Idempotent; tracked {
+		if retract = class != nil && class.Idempotency != balance.Idempotent; retract {
 			retractLastSend(job.stored.State)
 		}
 	}
 	s.mu.Unlock()
-	if tracked {
+	if retract {
 		s.opts.Store.UpdateState(id, retractLastSend, nil)
 	}
 }
--- a/internal/gearman/answer.go
+++ b/internal/gearman/answer.go
@@ -24,7 +24,7 @@
 	}
 	j.request = nil
 	var once sync.Once
-	update := jobUpdate{final: true, onWritten: func(whole bool) { once.Do(func() { s.core.AnswerWritten(sub.request, whole) }) }}
+	update := jobUpdate{final: true, onWritten: func(complete bool) { once.Do(func() { s.core.AnswerWritten(sub.request, complete) }) }}
 	update.basic, update.withExceptions = j.encodeAnswer(answer)
 	background := j.entry.Background
 	if background && answer.Verdict != dispatch.Served {
--- a/internal/gearman/gearman_test.go
+++ b/internal/gearman/gearman_test.go
@@ -38,7 +38,7 @@
 }
 
 // A stream yields the same packets, or an error, however its bytes are split into chunks. The
-// arguments of a packet join to its body.
+// arguments of a packet, joined by NUL bytes, are its body.
 func FuzzFramer(f *testing.F) {
 	f.Add(Request(SubmitJob, "f", "u", "data"), 1)
 	f.Add(append(Request(EchoReq, "a"), Request(GetStatus, "H:n0:1")...), 5)
@@ -46,11 +46,11 @@
 	f.Add([]byte("\x00REQ\x00\x00\x00\x07\xff\xff\xff\xff"), 4)
 	f.Fuzz(func(t *testing.T, b []byte, chunkSize int) {
 		chunkSize = 1 + max(0, chunkSize)%64
-		whole, wholeErr := frame(b, len(b)+1)
+		unsplit, unsplitErr := frame(b, len(b)+1)
 		chunked, chunkedErr := frame(b, chunkSize)
-		require.Equal(t, wholeErr == nil, chunkedErr == nil)
-		if wholeErr == nil {
-			require.Equal(t, whole, chunked)
+		require.Equal(t, unsplitErr == nil, chunkedErr == nil)
+		if unsplitErr == nil {
+			require.Equal(t, unsplit, chunked)
 		}
 		for _, n := range []int{1, 3, 8} { // only the last argument may hold a NUL
 			p := Packet{Body: b}
--- a/internal/gearman/job.go
+++ b/internal/gearman/job.go
@@ -56,7 +56,7 @@
 	return j.server.scheduler.RecordSend(ctx, id, send)
 }
 
-// attemptEnded takes the outcome of an attempt. If the attempt provably did not run, its record is
+// attemptEnded handles the outcome of an attempt. If the attempt provably did not run, its record is
 // retracted.
 func (j *job) attemptEnded(status balance.Status) {
 	if !status.NeverRan() {
--- a/internal/gearman/packet.go
+++ b/internal/gearman/packet.go
@@ -1,6 +1,6 @@
-// Package gearman implements the Gearman protocol. Towards client connections it is a job server,
-// towards the workers of its discovery it is a Gearman client. The dispatcher core decides which
-// worker gets each job.
+// Package gearman implements the Gearman protocol. It is a job server for its client connections, and
+// a Gearman client of the workers, which are job servers too. The dispatcher core decides which worker
+// gets each job.
 package gearman
 
 import (
@@ -13,7 +13,7 @@
 	"tinroute.example/tinroute/internal/link"
 )
 
-// Type is the packet type number of the Gearman protocol.
+// Type is a packet type of the Gearman protocol.
 type Type uint32
 
 // The supported packet types, as listed on the protocol page of gearman.org. Those that only
--- a/internal/gearman/schedule.go
+++ b/internal/gearman/schedule.go
@@ -28,8 +28,8 @@
 // scheduleFields lists the fields of a SUBMIT_JOB_SCHED in their order, with their ranges. Day 0
 // of the week is Monday there, and Sunday in cron.
 var scheduleFields = [...]struct {
-	name        string
-	least, most int
+	name     string
+	min, max int
 }{{"minute", 0, 59}, {"hour", 0, 23}, {"day of the month", 1, 31}, {"month", 1, 12}, {"day of the week", 0, 6}}
 
 // nextScheduled returns the next time that matches the fields of a SUBMIT_JOB_SCHED, in the
@@ -44,8 +44,8 @@
 			continue
 		}
 		n, err := strconv.Atoi(value)
-		if err != nil || n < field.least || n > field.most {
-			return time.Time{}, fmt.Errorf("%s %.20q is not from %d to %d", field.name, value, field.least, field.most)
+		if err != nil || n < field.min || n > field.max {
+			return time.Time{}, fmt.Errorf("%s %.20q is not from %d to %d", field.name, value, field.min, field.max)
 		}
 		if i == len(scheduleFields)-1 {
 			n = (n + 1) % 7
--- a/internal/gearman/server.go
+++ b/internal/gearman/server.go
@@ -111,8 +111,8 @@
 // outboxItem is an encoded message that waits to be written to a client.
 type outboxItem struct {
 	data      []byte
-	final     bool             // a job's final answer; the job counts as in flight on the connection until it is written
-	onWritten func(whole bool) // called after the write, if set; whole tells whether it succeeded
+	final     bool                // a job's final answer; the job counts as in flight on the connection until it is written
+	onWritten func(complete bool) // called after the write, if set; complete reports whether it succeeded
 }
 
 // client is one client connection, with any number of jobs up to the limit.
@@ -154,7 +154,7 @@
 		if errors.Is(err, errLineTooLong) {
 			c.send([]byte(errTextLineTooLong))
 		} else {
-			c.waitAnswered() // the client still gets the answers of its jobs first
+			c.waitAnswered() // the answers of its jobs are sent first
 			c.send(Response(Error, codeMalformed, err.Error()))
 		}
 	} else if closeAfter {
@@ -248,11 +248,11 @@
 
 // jobUpdate is a message about a job to each of its waiters.
 type jobUpdate struct {
-	recipients     map[*client]int  // number of submissions of each client
-	final          bool             // a final answer
-	basic          []byte           // for clients without the option "exceptions"
-	withExceptions []byte           // for clients with it
-	onWritten      func(whole bool) // called after each write to a client, if set
+	recipients     map[*client]int     // number of submissions of each client
+	final          bool                // a final answer
+	basic          []byte              // for clients without the option "exceptions"
+	withExceptions []byte              // for clients with it
+	onWritten      func(complete bool) // called after each write to a client, if set
 }
 
 // deliver notifies the waiters of a job. If they are many, a separate goroutine does so, since the
--- a/internal/gearman/stored.go
+++ b/internal/gearman/stored.go
@@ -31,7 +31,7 @@
 // Offer submits a stored job to the dispatcher.
 func (s *Server) Offer(stored *jobstore.StoredJob, prior *balance.PriorAttempt) {
 	s.mu.Lock()
-	if s.draining { // the scheduler had chosen the job before it was told to drain
+	if s.draining { // the scheduler had chosen the job before the drain began
 		s.mu.Unlock()
 		return
 	}
--- a/internal/gearman/submit.go
+++ b/internal/gearman/submit.go
@@ -75,15 +75,15 @@
 	c.send(Response(Error, code, text))
 }
 
-// rejectJob answers a valid submission that exceeds a limit, or that the job store cannot take,
+// rejectJob answers a valid submission that exceeds a limit, or that the job store cannot accept,
 // with ERROR. It does not count towards closing the connection: the client may retry.
-func (c *client) rejectJob(code string, why error) {
-	c.limitedLog.Report("job rejected", c.RemoteAddr(), code, "why", why.Error())
-	c.send(Response(Error, code, why.Error()))
+func (c *client) rejectJob(code string, err error) {
+	c.limitedLog.Report("job rejected", c.RemoteAddr(), code, "why", err.Error())
+	c.send(Response(Error, code, err.Error()))
 }
 
-// submit handles a job submission with n arguments. The function selects the class, the unique ID
-// is the idempotency key.
+// submit handles a job submission with argCount arguments. The function selects the class, and the
+// unique ID is the idempotency key.
 func (c *client) submit(p *Packet, argCount int, background bool) error {
 	raw, err := p.Args(argCount)
 	if err != nil {
--- a/internal/gearman/text.go
+++ b/internal/gearman/text.go
@@ -278,8 +278,8 @@
 		totals.Offered, totals.Served, totals.Retried, totals.DeadLettered, totals.Window, totals.Cuts) + textEnd
 }
 
-// setMaxQueue limits the open jobs of a function. In gearmand the command takes a limit for each
-// priority; here the first one applies, since there is one queue.
+// setMaxQueue limits the open jobs of a function. In gearmand the command has a limit for each
+// priority; here only the first one applies, since there is one queue.
 func (s *Server) setMaxQueue(words []string) string {
 	if len(words) < 2 {
 		return fmt.Sprintf(errInvalidArguments, "maxqueue")
--- a/internal/gearman/workers.go
+++ b/internal/gearman/workers.go
@@ -131,7 +131,7 @@
 	return status, result
 }
 
-// receive reads the job server's packets up to the end of the job. The result reusable tells
+// receive reads the job server's packets up to the end of the job. The result reusable reports
 // whether the connection may carry another job.
 func (w *Workers) receive(ctx context.Context, attempt *dispatch.Attempt,
 	conn *link.PoolConn[Packet]) (status balance.Status, result []byte, reusable bool) {
@@ -170,7 +170,7 @@
 	w.log.Info(message, "worker", attempt.Worker.Name, "id", attempt.Request.ID, "err", err)
 }
 
-// exchange is the client's state machine for one job. It is given the packets received and does
+// exchange is the client's state machine for one job. It is fed the packets received and does
 // no I/O.
 type exchange struct {
 	handle     string // empty until JOB_CREATED
--- a/internal/hook/hook.go
+++ b/internal/hook/hook.go
@@ -7,7 +7,7 @@
 //	def on_transaction(tx):   # refuse a request, or set its tenant or cost; None changes nothing
 //	    return {"refuse": "closed on Sundays", "retry_after_s": 60}
 //	    return {"tenant": "argane-epargne", "cost_s": 0.4}
-//	def on_outcome(task):     # observe the end of an attempt
+//	def on_outcome(task):     # observe the end of an attempt; region is the worker's name
 //	    print(task.region, task.status)
 //
 // The files are called in the configured order until one refuses the request. If a script fails, the
--- a/internal/jobstore/commit.go
+++ b/internal/jobstore/commit.go
@@ -13,8 +13,8 @@
 	writeQueueLen   = 1024    // queued writes; callers block while the queue is full
 	fileLockTimeout = time.Second
 	// A batch waits for more writes for half of the average commit time, at most maxBatchWait, or
-	// until it is as large as the largest recent batch. Every peakProbeInterval-th batch waits longer
-	// than that, since batches could not grow otherwise. After maxFruitlessWaits batches of a single
+	// until it is as large as the largest recent batch. Every peakProbeInterval-th batch waits beyond
+	// that size, since batches could not grow otherwise. After maxFruitlessWaits batches of a single
 	// write, only every waitProbeInterval-th batch waits.
 	maxBatchWait      = 2 * time.Millisecond
 	maxFruitlessWaits = 4
--- a/internal/jobstore/record.go
+++ b/internal/jobstore/record.go
@@ -78,7 +78,7 @@
 func (e *encoder) string(s string)  { e.uvarint(uint64(len(s))); e.buf = append(e.buf, s...) }
 func (e *encoder) bool(b bool)      { e.buf = append(e.buf, map[bool]byte{true: 1}[b]) }
 
-// record returns the whole record of the body that was encoded.
+// record returns the complete record, with the body that was encoded.
 func (e *encoder) record(kind byte) []byte {
 	out := make([]byte, 0, len(e.buf)+minRecordSize+binary.MaxVarintLen32)
 	out = append(out, recordMagic...)
--- a/internal/jobstore/repair.go
+++ b/internal/jobstore/repair.go
@@ -19,7 +19,7 @@
 	// ReasonSalvaged is the DeadReason of jobs that were recovered from a damaged file. Such a job may
 	// have ended already, and it may be unknown whether and where it was sent.
 	ReasonSalvaged = "salvaged"
-	// copyTxBytes limits the memory that one transaction of a compaction takes.
+	// copyTxBytes limits the memory that one transaction of a compaction uses.
 	copyTxBytes = 1 << 20
 )
 
@@ -233,7 +233,7 @@
 		defer s.recoverFault(&c.err)()
 		defer func() { _ = tx.Rollback() }()
 		opts := s.boltOptions()
-		opts.NoSync = true // the finished copy is synced once as a whole
+		opts.NoSync = true // the complete copy is synced once, by finishCompaction
 		if c.db, c.err = bolt.Open(c.path, 0o600, opts); c.err == nil {
 			c.err = copyAll(c.db, tx)
 		}
@@ -338,5 +338,6 @@
 	})
 }
 
-// errCompact marks a write that changes nothing and only reaches the writer goroutine.
+// errCompact is the error of a write that changes nothing: its done callback runs on the writer
+// goroutine.
 var errCompact = errors.New("compact")
--- a/internal/jobstore/store_test.go
+++ b/internal/jobstore/store_test.go
@@ -448,7 +448,9 @@
 	require.NoFileExists(t, path+compactSuffix)
 }
 
-func TestDue(t *testing.T) {
+// Due times that a client set must be compared with the system clock, and all others with the clock of
+// the process.
+func TestDueComparesWithTwoClocks(t *testing.T) {
 	s := openStore(t, Options{Path: filepath.Join(t.TempDir(), "jobs")})
 	putDue := func(handle string, due time.Duration, dueSetByClient bool) {
 		done := make(chan error, 1)
--- a/internal/limitedlog/limitedlog.go
+++ b/internal/limitedlog/limitedlog.go
@@ -47,7 +47,7 @@
 }
 
 // Report logs or counts an event that a peer caused. attrs are further attributes of the log line.
-// Peers are told apart by host alone, since the port changes whenever a client reconnects.
+// Peers are distinguished by host alone, since the port changes whenever a client reconnects.
 func (l *Logger) Report(message string, from net.Addr, reason string, attrs ...any) {
 	host := Host(from)
 	l.mu.Lock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// Host returns the host part of an address, or the whole address if it has no port.
+// Host returns the host part of an address, or the full address if it has no port.
 func Host(a net.Addr) string {
 	if a == nil {
 		return ""
--- a/internal/limitedlog/limitedlog_test.go
+++ b/internal/limitedlog/limitedlog_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A worker tool that resent a packet whenever it was rejected once caused 164,824 log lines in three
-// seconds.
+// Guards against a flood of log lines: a worker tool that resent a packet whenever it was rejected once
+// caused 164,824 lines in three seconds.
 func TestOneLinePerMinute(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(0, 0)
--- a/internal/link/drain.go
+++ b/internal/link/drain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// DrainSchedule sets how long a process that shuts down goes on serving. All times count from the
+// DrainSchedule sets how long a process that shuts down continues to serve. All times count from the
 // start of the drain.
 type DrainSchedule struct {
 	FullDeadlineFor time.Duration // requests that arrive until then keep their own deadline
@@ -67,7 +67,7 @@
 	}
 	select {
 	case <-acceptDone:
-	case <-time.After(recheckInterval): // Serve still waits for room for a connection at the limit
+	case <-time.After(recheckInterval): // Serve is blocked in makeRoom
 		_ = listener.Close()
 	}
 }
@@ -102,7 +102,7 @@
 		case c.inFlight > 0:
 			busy++
 		case !c.validated && !c.lingering && now.Sub(c.idleSince) < unvalidatedMinAge:
-			busy++ // its first request may be on the way
+			busy++ // its first request may be in transit
 		case c.receiving(now):
 			busy++
 		case all || !c.keepDuringDrain:
--- a/internal/link/eviction.go
+++ b/internal/link/eviction.go
@@ -51,7 +51,7 @@
 // flooded reports whether unvalidated connections use floodShare of the limit or more. If so,
 // only connections that are lingering or unvalidated are evicted, once old enough, so that a flood of
 // silent connections does not evict idle clients. Below that share idle connections may be evicted
-// at once, since each unvalidated one may be a client or a call-back whose request is on the way.
+// at once, since each unvalidated one may be a client or a call-back whose request is in transit.
 func (s *Server) flooded() bool {
 	unvalidated := 0
 	for c := range s.conns {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Framer is a protocol's state machine: it takes bytes, does no I/O, and returns complete messages.
+// Framer is a protocol's state machine: it is fed bytes, does no I/O, and returns complete messages.
 type Framer[M any] interface {
 	// Feed appends bytes read from the stream.
 	Feed(p []byte)
@@ -40,8 +40,8 @@
 // Unwrap returns the protocol error.
 func (m *MalformedError) Unwrap() error { return m.error }
 
-// PartialObserver is a connection that is told before each read whether the bytes read so far end in
-// the middle of a message.
+// PartialObserver is implemented by connections that track incomplete messages. ReadMessages calls
+// ObservePartial before each read, with whether the bytes read so far end in the middle of a message.
 type PartialObserver interface{ ObservePartial(partial bool) }
 
 // ReadMessages feeds the framer from the connection and passes each complete message to handle, until
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -77,7 +77,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded): // the drain stops accepting: the queue has been taken up
+		case errors.Is(err, os.ErrDeadlineExceeded): // set by closeListener, which lets queued connections be accepted first
 			_ = l.Close()
 			return nil
 		case err != nil: // most likely out of file descriptors, of which some will be closed
--- a/internal/link/server_test.go
+++ b/internal/link/server_test.go
@@ -24,7 +24,7 @@
 func (p pipeListener) Close() error   { return nil }
 func (p pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
-// dial opens a connection and sends the lines. The channel is closed when the connection ends.
+// dial opens a connection and sends data. The channel is closed when the connection ends.
 func (p pipeListener) dial(data string) (closed chan bool) {
 	near, far := net.Pipe()
 	closed = make(chan bool)
--- a/internal/link/serverconn.go
+++ b/internal/link/serverconn.go
@@ -34,9 +34,9 @@
 	c.validationTimer.Stop()
 }
 
-// Read reads from the connection. The bytes count as an incoming message until the next Read:
-// between here and the message's handler they are neither in the kernel's buffer nor counted as in
-// flight, and a drain would close the connection of a request that has been received.
+// Read reads from the connection. The bytes count as an incoming message until the next Read or
+// ObservePartial: before the message reaches its handler they are neither in the kernel's buffer nor
+// counted as in flight, and a drain would close the connection of a request that has been received.
 func (c *ServerConn) Read(buf []byte) (n int, err error) {
 	c.server.mu.Lock()
 	c.unframed = false
--- a/internal/platform/codec.go
+++ b/internal/platform/codec.go
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// nextChunked searches for the end of a chunked body and has net/http decode the body once it is
+// nextChunked searches for the end of a chunked body, and decodes the body with net/http once it is
 // complete.
 func (f *Framer) nextChunked(rest []byte) (*Message, error) {
 	if len(rest) > 4*maxBodyBytes { // many tiny chunks, long extensions or an unbounded trailer
@@ -246,8 +246,8 @@
 	return f.takeMessage(pos), nil
 }
 
-// encodeResponse encodes a response. With closeConn it announces that the
-// connection is closed after it.
+// encodeResponse encodes a response. With closeConn it announces that the connection is closed after
+// it.
 func encodeResponse(status int, body []byte, retryAfter time.Duration, closeConn bool) []byte {
 	buf := make([]byte, 0, 128+len(body))
 	buf = append(buf, "HTTP/1.1 "...)
--- a/internal/platform/codec_test.go
+++ b/internal/platform/codec_test.go
@@ -87,7 +87,7 @@
 	})
 }
 
-// An ambiguous head may smuggle a request in what another parser takes for the body, and a request that
+// An ambiguous head may smuggle a request in what another parser treats as the body, and a request that
 // a worker may be unable to parse must not reach it.
 func TestAmbiguousHeadIsRejected(t *testing.T) {
 	for head, want := range map[string]string{
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -21,15 +21,15 @@
 
 const (
 	// A watch whose peer goes silent can be recognized only by the missing response at the end of
-	// its wait: with a wait of 20 s a fleet of 324 saw no changes for 17 s, while six in ten of its
-	// workers were replaced. So a watch waits for at most maxWatch while discovery responds. Since
+	// its wait: with a wait of 20 s a fleet of 324 dispatchers saw no changes for 17 s, while six in
+	// ten workers were replaced. So a watch waits for at most maxWatch while discovery responds. Since
 	// shorter watches mean more calls, each failed call doubles that limit, up to
 	// maxWatchAfterFailures.
 	maxWatch              = 4 * time.Second
 	maxWatchAfterFailures = 20 * time.Second
-	// watchPerDispatcher limits the longest watch further, per dispatcher of the fleet: a few
-	// dispatchers cause little load, and a long watch that goes silent after a failed call is
-	// noticed too late.
+	// watchPerDispatcher times the number of dispatchers in the fleet is a further limit on the
+	// watches after failed calls: a few dispatchers cause little load, and a long watch that goes
+	// silent after a failed call is noticed too late.
 	watchPerDispatcher = 60 * time.Millisecond
 	// callTimeout is the timeout of a call that does not wait for changes. Discovery handles calls
 	// one after another, and rejects those that have waited for 2 s.
@@ -65,10 +65,10 @@
 	appliedChanges        int           // value of addrChanges when addr was last updated
 	maxWatch              time.Duration // the longest watch while no calls fail
 	maxWatchAfterFailures time.Duration // the longest watch after failed calls
-	backoff               int           // how often failed calls have doubled maxWatch
+	backoff               int           // how often maxWatch is doubled: one more for each failed call, one less for each success
 	addr                  string
-	version               int64 // of the list held
-	hasList               bool  // a list from addr is held; version cannot tell, as the first one may be 0
+	version               int64 // of the current list
+	hasList               bool  // a list has been received from addr; version 0 does not mean that there is none
 	conn                  net.Conn
 	framer                link.Framer[Message]
 }
@@ -76,7 +76,7 @@
 // NewDiscoveryClient returns a client that calls discovery at addr once Run is called.
 func NewDiscoveryClient(core *dispatch.Core, log *slog.Logger, names *config.Names, dial link.DialFunc, addr string) *DiscoveryClient {
 	limit := maxWatch
-	// After PullInterval the rules count a change as known to the dispatcher.
+	// After PullInterval the platform's rules count a change as known to the dispatcher.
 	if interval := core.Settings().PullInterval; interval > 0 {
 		limit = min(limit, interval*2/5)
 	}
@@ -86,7 +86,7 @@
 }
 
 // SetAddr makes the client call discovery at another address from now on. It immediately requests the
-// whole list, since the versions of two discovery servers cannot be compared. The current list stays
+// complete list, since the versions of two discovery servers cannot be compared. The current list stays
 // in use until then, and later responses of the old address are dropped.
 func (c *DiscoveryClient) SetAddr(addr string) {
 	c.mu.Lock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// applyAddr takes up the address last set and returns a context that is cancelled when the address
+// applyAddr switches to the address last set and returns a context that is cancelled when the address
 // changes again. changed reports whether the address has been set since the last call.
 func (c *DiscoveryClient) applyAddr(ctx context.Context) (callCtx context.Context, changed bool) {
 	c.mu.Lock()
@@ -120,14 +120,14 @@
 // Watch subscribes to changes of the list.
 func (c *DiscoveryClient) Watch() { c.enqueue(true) }
 
-// Fetch requests the whole list.
+// Fetch requests the complete list.
 func (c *DiscoveryClient) Fetch() { c.enqueue(false) }
 
-// enqueue queues a call for Run.
+// enqueue queues a call for Run. If two calls are queued already, it does nothing.
 func (c *DiscoveryClient) enqueue(watch bool) {
 	select {
 	case c.requests <- watch:
-	default: // two calls are queued already
+	default:
 	}
 }
 
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -117,13 +117,13 @@
 	return append([]string(nil), d.paths...)
 }
 
-// runDiscovery runs a discovery client against d for length.
-func runDiscovery(t *testing.T, d *fakeDiscovery, length time.Duration) {
-	runDiscoveryWith(t, d, length, nil)
+// runDiscovery runs a discovery client against d for the given duration.
+func runDiscovery(t *testing.T, d *fakeDiscovery, duration time.Duration) {
+	runDiscoveryWith(t, d, duration, nil)
 }
 
-// runDiscoveryWith does the same, and runs concurrently with the client in its own goroutine.
-func runDiscoveryWith(t *testing.T, d *fakeDiscovery, length time.Duration, concurrently func(*DiscoveryClient)) {
+// runDiscoveryWith does the same, and meanwhile runs the function concurrently, if not nil.
+func runDiscoveryWith(t *testing.T, d *fakeDiscovery, duration time.Duration, concurrently func(*DiscoveryClient)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := balance.Settings{FleetSize: max(1, d.fleetSize), WorkerKinds: 1, MaxAttempts: 3, PullMembers: true, ConnectTimeout: 250 * time.Millisecond,
 			Tick: 5 * time.Millisecond, PullInterval: 10 * time.Second,
@@ -140,7 +140,7 @@
 		if concurrently != nil {
 			go concurrently(client)
 		}
-		time.Sleep(length)
+		time.Sleep(duration)
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -191,7 +191,7 @@
 	d := &fakeDiscovery{answers: []string{fullList, "held", "held", "silent", fullList, "held", "held"}}
 	runDiscovery(t, d, 22*time.Second)
 	require.GreaterOrEqual(t, len(d.times), 6, "calls: %q", d.paths)
-	wait := time.Duration(d.waits()[2]+1) * time.Millisecond // the call has its wait in whole milliseconds
+	wait := time.Duration(d.waits()[2]+1) * time.Millisecond // the path has the wait in milliseconds, rounded down
 	if gap := d.times[4].Sub(d.times[3]); gap > wait+watchSlack || wait+watchSlack > 5*time.Second {
 		t.Errorf("a silent watch of %v is opened again after %v", wait, gap)
 	}
@@ -226,7 +226,7 @@
 }
 
 // watchWaitOf returns the wait of a watch by the path of its call, 0 if it is no watch. The path has it
-// in whole milliseconds, rounded down.
+// in milliseconds, rounded down.
 func watchWaitOf(path string) time.Duration {
 	_, wait, _ := strings.Cut(path, "wait_ms=")
 	if ms, err := strconv.Atoi(wait); err == nil && ms > 0 {
@@ -235,7 +235,7 @@
 	return 0
 }
 
-// An invalid list must be dropped as a whole: the last valid one stays in use, and later calls ask for
+// An invalid list must be dropped completely: the last valid one stays in use, and later calls ask for
 // changes since its version.
 func TestInvalidListIsDropped(t *testing.T) {
 	for _, body := range []string{
@@ -291,7 +291,7 @@
 	require.LessOrEqual(t, slices.Max(d.waits()), 4000)
 }
 
-// Discovery's first version may be 0. Guards against taking it for no list, and requesting the whole
+// Discovery's first version may be 0. Guards against treating it as no list, and requesting the complete
 // list after every failure: when an overloaded discovery rejected calls, 80 dispatchers kept requesting
 // 60 entries each, and none received anything.
 func TestVersionZeroIsAValidVersion(t *testing.T) {
@@ -299,7 +299,7 @@
 	runDiscovery(t, d, 5*time.Second)                       // the balancer asks again soon after a failure
 	paths := d.requested()
 	require.GreaterOrEqual(t, len(paths), 3, "paths: %q", paths)
-	require.Equal(t, "/api/targets", paths[0], "the first call, without a list, must request the whole list")
+	require.Equal(t, "/api/targets", paths[0], "the first call, without a list, must request the complete list")
 	require.Contains(t, paths[1], "/api/targets?after=0&wait_ms=")
 	for _, p := range paths[2:] {
 		require.Contains(t, p, "after=0&", "with version 0 held, later calls must request changes: %q", paths)
--- a/internal/platform/head.go
+++ b/internal/platform/head.go
@@ -30,12 +30,12 @@
 
 // checkHead validates the raw head of a request before http.ReadRequest parses it, to prevent request
 // smuggling. Where a head is ambiguous, a proxy in front of the dispatcher or a worker behind it may
-// parse it differently, so that one takes for a body what the other takes for a request. checkHead
+// parse it differently, so that one treats as a body what the other treats as a request. checkHead
 // rejects what net/http accepts silently:
 //   - a Content-Length together with a Transfer-Encoding (net/http drops the length), either of them
 //     twice, and a Transfer-Encoding in HTTP/1.0 (net/http ignores it);
 //   - a field name that is not followed directly by its colon (net/http keeps the field under a name
-//     that nothing looks up), and a line that continues the previous one;
+//     that no code uses), and a line that continues the previous one;
 //   - a line that ends in a bare LF, and any other control byte;
 //   - versions that net/http would treat as 1.1, a missing Host in 1.1, and a target that is not a
 //     plain path and query: a worker closes the connection when it cannot parse a request, which also
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -49,7 +49,7 @@
 
 // SetRelay sets a function that passes on call-backs for requests unknown to this process: during an
 // upgrade they may be meant for the other process on the same address. send reports whether the
-// call-back was passed on. It must be called before Serve.
+// call-back was passed on. SetRelay must be called before Serve.
 func (s *Server) SetRelay(send func(body []byte) bool) { s.relay = send }
 
 // HandleRelayed handles a call-back that another process has passed on.
@@ -113,8 +113,7 @@
 }
 
 // enqueue passes a message to serve, and returns false if the connection ends first. While it waits,
-// nothing is read and a close by the client may lie behind unread bytes, so the system is polled for
-// it.
+// nothing is read, so a close by the client may be hidden behind unread bytes and is polled for.
 func (c *clientConn) enqueue(m *Message) bool {
 	select {
 	case <-c.serveDone: // the last response has been written: discard further messages
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -80,9 +80,9 @@
 	return b.String()
 }
 
-// A client pipelines many requests and closes the connection. Its close lies behind requests that are
-// not read while the first is in flight. It must be noticed all the same: the first request must be
-// abandoned and the others must not be served.
+// A client pipelines many requests and closes the connection. Its close is hidden behind requests that
+// are not read while the first is in flight. It must be noticed all the same: the first request must be
+// cancelled and the others must not be served.
 func TestClientLeavesWithPipelinedRequests(t *testing.T) {
 	f := newServerFixture(t)
 	c := f.dial()
--- a/internal/platform/workers.go
+++ b/internal/platform/workers.go
@@ -29,7 +29,7 @@
 	deleteRetryInterval = 100 * time.Millisecond
 )
 
-// Workers sends attempts to workers over HTTP. It implements dispatch.Workers.
+// Workers sends attempts to workers over HTTP. It implements dispatch.Driver.
 type Workers struct {
 	core    *dispatch.Core
 	log     *slog.Logger
@@ -114,8 +114,8 @@
 		_ = conn.Close()
 		if c.ctx.Err() != nil {
 			// The worker may have sent its 202 before it saw the close: only a response to a
-			// DELETE proves that the job does not run on. No DELETE is sent for an attempt that a
-			// call-back has ended, since a later attempt of the request may be at the worker.
+			// DELETE proves that the job has stopped. No DELETE is sent for an attempt that a
+			// call-back has ended, since the worker may hold a later attempt of the request.
 			if !w.hasEnded(c) {
 				w.deleteJob(c)
 			}
@@ -138,7 +138,7 @@
 		return conn
 	case c.ctx.Err() != nil: // cancelled before anything was sent
 		w.finish(c, balance.StatusNotSent, nil)
-	case errors.Is(err, link.ErrAddrLimit): // the worker takes no more connections of this dispatcher
+	case errors.Is(err, link.ErrAddrLimit): // the worker accepts no more connections from this dispatcher
 		w.finish(c, balance.StatusFull, nil)
 	default:
 		w.logAttempt(c, "worker unreachable", err)
@@ -173,8 +173,8 @@
 	}
 }
 
-// isInvalidRequest reports whether a status blames the request itself: every worker would reject what a faulty
-// client sent, so the status says nothing about the worker.
+// isInvalidRequest reports whether a status means that the request itself is invalid. Every worker would
+// reject it, so the status says nothing about the worker.
 func isInvalidRequest(code int) bool {
 	return code/100 == 4 && code != http.StatusRequestTimeout && code != http.StatusTooManyRequests
 }
@@ -255,7 +255,8 @@
 
 // deleteJob cancels an attempt that the worker may have accepted. The attempt ends as cancelled once
 // the worker has responded, or refuses the connection because no process listens there any more.
-// Until then the worker may still run it, and the core sends it no other attempt of the request.
+// Until then the worker may still run it, and the core sends that worker no other attempt of the
+// request.
 func (w *Workers) deleteJob(c *attemptCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), deleteTimeout)
 	defer cancel()
@@ -312,9 +313,9 @@
 // ignored here. A call-back may arrive before the 202.
 //
 // A call-back names the request and the worker, but not the attempt. If an earlier attempt of the
-// request was at the same worker, a call-back before the 202 may be a repeated one of that attempt,
-// and must not end the current attempt, which runs. Such a call-back is refused with errNotAccepted,
-// and the worker sends its own again later.
+// request was sent to the same worker, a call-back before the 202 may be a repeat from that attempt,
+// and must not end the current one. Such a call-back is rejected with errNotAccepted. If it does belong
+// to the current attempt, the worker repeats it later.
 func (w *Workers) HandleEvent(requestID, worker, state string, share float64, result []byte) (known bool, err error) {
 	w.mu.Lock()
 	c := w.calls[callKey{requestID, worker}]
@@ -345,7 +346,7 @@
 var finalStatuses = map[string]balance.Status{"done": balance.StatusOK, "failed": balance.StatusError,
 	"returned": balance.StatusFull, "lost": balance.StatusReset}
 
-// UpdateMembers takes the new worker list and closes idle connections to workers that are not on it.
+// UpdateMembers sets the list of workers and closes idle connections to those not in it.
 func (w *Workers) UpdateMembers(members []dispatch.Worker) {
 	w.serving.Set(members)
 	listed := map[string]bool{}
--- a/internal/platform/workers_test.go
+++ b/internal/platform/workers_test.go
@@ -116,7 +116,7 @@
 	script    func(call string) string
 	dials     int
 	onDial    func(n int) error // called before the nth connection is established
-	dialDelay time.Duration     // how long a connection takes to be established
+	dialDelay time.Duration     // how long it takes to establish a connection
 	conns     []net.Conn
 }
 
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -7,14 +7,15 @@
 // safe for concurrent use.
 //
 // The limit is a window with additive increase and multiplicative decrease (Chiu and Jain 1989, as
-// in TCP): it grows by one for each window of results, and halves when the policy refuses an offer
-// or a foreground job has waited too long for capacity. Two more limits bound the offers that wait
-// unsent in the policy's queue and the rate of offers.
+// in TCP). It grows by one for each result at first (slow start), and after the first cut by one for
+// each window of results. It halves when the policy refuses an offer or a foreground job has waited
+// too long for capacity. Two more limits bound the offers that wait unsent in the policy's queue and
+// the rate of offers.
 type Pacer struct {
 	Limits PacerLimits
 
 	window        float64
-	slowStartOver bool          // slow start is over
+	slowStartOver bool          // the window was cut, and now grows by one for each window of results
 	outstanding   int           // offers that have not ended
 	unsent        int           // of these, not sent yet
 	nextCutAt     time.Duration // earliest time of the next cut
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,7 +1,7 @@
-// Package recovery decides how to continue with stored jobs: whether a job may be offered, that is
-// submitted, to the policy (again), when and under which restrictions, or whether it becomes a dead
-// letter. It does no I/O, and callers pass in the current time. The policy still chooses the
-// worker, repeats attempts within an offer, and decides what to refuse.
+// Package recovery decides how to continue with stored jobs: whether, when and under which
+// restrictions a job is offered to the policy, that is submitted to it, or whether the job becomes a
+// dead letter. It does no I/O, and callers pass in the current time. The policy still chooses the
+// workers, repeats attempts within an offer, and decides what to refuse.
 package recovery
 
 import (
@@ -112,8 +112,9 @@
 	return p.planOffer(now, j)
 }
 
-// deadLetter makes a job a dead letter. If the job may have run and its class is not idempotent,
-// the reason is always ReasonUnknown: an operator who releases the job must know that.
+// deadLetter returns the decision to make a job a dead letter. If the job may have run and its class
+// is not idempotent, the reason is always ReasonUnknown: an operator who releases the job must know
+// that.
 func (p *Planner) deadLetter(j *Job, reason string) Decision {
 	if mayRepeat := j.Idempotency == balance.Idempotent; !mayRepeat && (j.FirstSend != nil || j.HistoryUnknown) {
 		reason = ReasonUnknown
@@ -121,7 +122,7 @@
 	return Decision{Action: ActionDeadLetter, Reason: reason}
 }
 
-// planOffer offers a job again if its class allows that. After a first send that may have run, a
+// planOffer decides by a job's class whether it may be offered. After a first send that may have run, a
 // deduplicated job may only go to the workers that know its key, and only within the deduplication
 // window. The policy gets that send with the offer and enforces both rules during the offer.
 func (p *Planner) planOffer(now time.Duration, j *Job) Decision {
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -119,7 +119,7 @@
 
 // Random sequences of appends, reads, acknowledgements, restarts and truncated records. Records are
 // read in order, none is read again after its acknowledgement, and no complete one is lost.
-func TestModel(t *testing.T) {
+func TestSpoolMatchesModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp("", "spool")
 		require.NoError(rt, err)
@@ -161,7 +161,8 @@
 	})
 }
 
-// TestMain runs appendAndAck instead of the tests in the processes that TestKilledProcess starts.
+// TestMain runs appendAndAck instead of the tests in the processes that
+// TestRecordsSurviveKilledProcess starts.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SPOOL_TEST_DIR"); dir != "" {
 		appendAndAck(dir)
@@ -196,7 +197,7 @@
 
 // After a process is killed during a write or a send, no acknowledged record is sent again and no
 // completely written one is lost.
-func TestKilledProcess(t *testing.T) {
+func TestRecordsSurviveKilledProcess(t *testing.T) {
 	dir := t.TempDir()
 	put, sent, acked := map[int]bool{}, map[int]int{}, map[int]bool{}
 	lastSent, next, resent := -1, 0, 0
