--- a/internal/cli/budgets.go
+++ b/internal/cli/budgets.go
@@ -49,7 +49,7 @@
 }
 
 // Run proposes the change to the leader as the version after its current one. It fails if another
-// change has taken that version in the meantime, so that no change is overwritten.
+// change was committed under that version in the meantime, so that no change is overwritten.
 func (cmd *fleetBudgetsSetCmd) Run(r *runContext) error {
 	fleet, overview, err := cmd.loadAndQueryLeader(r)
 	if err != nil {
@@ -72,7 +72,7 @@
 	err = propose(fleet.Voters[overview.Leader], ledger.Command{Fleet: overview.Fleet, SetBudgets: &set})
 	if err != nil {
 		// The change may have been committed although the reply was lost.
-		if now, retryErr := queryLeader(fleet); retryErr != nil || now.Version != set.Version || !hasBudgets(now, set) {
+		if current, retryErr := queryLeader(fleet); retryErr != nil || current.Version != set.Version || !hasBudgets(current, set) {
 			return err
 		}
 	}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// hasBudgets reports whether the overview holds exactly the budgets of the set.
+// hasBudgets reports whether the overview has exactly the budgets of the set.
 func hasBudgets(overview ledger.Overview, set ledger.SetBudgets) bool {
 	var have []ledger.Budget
 	for _, b := range overview.Budgets {
@@ -100,7 +100,7 @@
 			return budget, fmt.Errorf("%s: %v is not from 0 to %d", key, value, share.MaxAmount/1000)
 		}
 		milli := int64(math.Round(value * 1000))
-		field, isPart := strings.CutPrefix(key, "part.")
+		field, isRule := strings.CutPrefix(key, "part.")
 		dot := strings.LastIndex(field, ".")
 		switch {
 		case key == "whole":
@@ -109,28 +109,28 @@
 		case key == "burst":
 			budget.Burst = milli
 			continue
-		case !isPart || dot <= 0:
+		case !isRule || dot <= 0:
 			return budget, fmt.Errorf("%s: neither whole, burst nor part.NAME.weight, .floor, .ceiling", key)
 		}
 		name, field := field[:dot], field[dot+1:]
-		part := budget.Rules[name]
+		rule := budget.Rules[name]
 		switch field {
 		case "weight":
 			if value != math.Trunc(value) || value < 1 {
 				return budget, fmt.Errorf("%s: %v is not a whole number above 0", key, value)
 			}
-			part.Weight = int64(value)
+			rule.Weight = int64(value)
 		case "floor":
-			part.Floor = milli
+			rule.Floor = milli
 		case "ceiling":
-			part.Ceiling = milli
+			rule.Ceiling = milli
 		default:
 			return budget, fmt.Errorf("%s: neither weight, floor nor ceiling", key)
 		}
 		if budget.Rules == nil {
 			budget.Rules = map[string]ledger.AllocationRule{}
 		}
-		budget.Rules[name] = part
+		budget.Rules[name] = rule
 	}
 	return budget, nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -118,7 +118,7 @@
 	return out
 }
 
-// newLogHandler returns the log handler that the flags ask for.
+// newLogHandler returns the log handler that the flags select.
 func newLogHandler(env Env, flags LogFlags) slog.Handler {
 	format := flags.LogFormat
 	if format == "auto" && env.IsTerminal {
@@ -235,7 +235,7 @@
 		if fleet.VoterDir != "" {
 			role = "votes, with its log in " + fleet.VoterDir
 		}
-		printf("fleet %s: %s %s; %d voters, leases of %v", fleet.Ledger.Fleet, cfg.Name, role, len(fleet.Voters), fleet.Terms.Lease)
+		printf("fleet %s: %s %s; %d voters, leases of %v", fleet.Ledger.Fleet, cfg.Name, role, len(fleet.Voters), fleet.Timing.Lease)
 		for _, b := range fleet.Budgets {
 			printf("  budget %s, version %d: %g a second with a burst of %g over all dispatchers", b.Name, fleet.BudgetVersion, float64(b.Total)/1000, float64(b.Burst)/1000)
 		}
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -85,8 +85,8 @@
 	if result.MaxColdLoad > 0 {
 		fmt.Fprintf(r.Out, "  cold nodes: a second brought at most %.2f of what pushes one over\n", result.MaxColdLoad)
 	}
-	for _, b := range result.Violations {
-		fmt.Fprintln(r.Out, "  broken:", b)
+	for _, violation := range result.Violations {
+		fmt.Fprintln(r.Out, "  broken:", violation)
 	}
 	if len(result.Violations) > 0 {
 		return errRulesViolated
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -39,7 +39,7 @@
 var errOwnPolicyViolation = errors.New("tinroute's own policy violated a rule")
 
 // Run runs the combinations of day, policy and seed that are not in the results file yet, appends
-// each result as it comes, and prints a summary of all of them. It fails if tinroute's own policy
+// each result as its run ends, and prints a summary of all of them. It fails if tinroute's own policy
 // violated a rule; violations by the comparison policies are only counted in the summary.
 //
 //revive:disable-next-line:function-length handles one command's flags, runs and tables in sequence
@@ -73,13 +73,13 @@
 	defer file.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	cells, remaining := plan.Trials(), 0
-	for _, cell := range cells {
-		if !done[cell] {
+	trials, remaining := plan.Trials(), 0
+	for _, trial := range trials {
+		if !done[trial] {
 			remaining++
 		}
 	}
-	fmt.Fprintf(r.Err, "%d plays, %d of them done before\n", len(cells), len(cells)-remaining)
+	fmt.Fprintf(r.Err, "%d plays, %d of them done before\n", len(trials), len(trials)-remaining)
 	began, finished := time.Now(), 0
 	var writeErr error
 	err = experiment.Run(ctx, plan, done, func(outcome experiment.Outcome) {
@@ -102,9 +102,9 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("stopped after %d of %d runs; repeat the same command to continue", finished, remaining)
 	}
-	order := map[experiment.Trial]int{} // position in the plan, as the results come in the order in which runs ended
-	for i, cell := range cells {
-		order[cell] = i + 1
+	order := map[experiment.Trial]int{} // position in the plan, as the results are in the order in which runs ended
+	for i, trial := range trials {
+		order[trial] = i + 1
 	}
 	var planned []experiment.Outcome
 	for _, outcome := range outcomes {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// readOutcomes reads a results file; a file that does not exist holds none. A truncated last line,
+// readOutcomes reads a results file; a file that does not exist has none. A truncated last line,
 // as a process killed during a write leaves it, is ignored and cut off the file, so that the next
 // result is appended after a complete line. An invalid line before the last is an error.
 func readOutcomes(path string) ([]experiment.Outcome, error) {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -120,11 +120,11 @@
 	for _, budget := range overview.Budgets {
 		fmt.Fprintf(table, "%s\t\t\t%g of %g\t\t\n", budget.Name, float64(budget.Granted)/1000, float64(budget.Total)/1000)
 		for _, holder := range budget.Holders {
-			lapsed := ""
+			status := ""
 			if holder.Expired {
-				lapsed = "lapsed"
+				status = "lapsed"
 			}
-			fmt.Fprintf(table, "\t%s\t%d\t%g\t%g\t%s\n", holder.Name, holder.Incarnation, float64(holder.Granted)/1000, float64(holder.Demand)/1000, lapsed)
+			fmt.Fprintf(table, "\t%s\t%d\t%g\t%g\t%s\n", holder.Name, holder.Incarnation, float64(holder.Granted)/1000, float64(holder.Demand)/1000, status)
 		}
 	}
 	_ = table.Flush()
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -145,30 +145,30 @@
 // printJSON prints the result as one JSON object.
 func printJSON(out io.Writer, result *load.Result) {
 	type class struct {
-		Name        string      `json:"Name"`
-		Served      int         `json:"Served"`
-		Refused     int         `json:"Refused"`
-		Failed      int         `json:"Failed"`
-		Unanswered  int         `json:"Broken"`
-		StatusCount map[int]int `json:"Statuses"`
-		P50Micros   int64       `json:"P50"`
-		P90Micros   int64       `json:"P90"`
-		P99Micros   int64       `json:"P99"`
-		P999Micros  int64       `json:"P999"`
-		MaxMicros   int64       `json:"Max"`
+		Name       string      `json:"Name"`
+		Served     int         `json:"Served"`
+		Refused    int         `json:"Refused"`
+		Failed     int         `json:"Failed"`
+		Unanswered int         `json:"Broken"`
+		Statuses   map[int]int `json:"Statuses"`
+		P50Micros  int64       `json:"P50"`
+		P90Micros  int64       `json:"P90"`
+		P99Micros  int64       `json:"P99"`
+		P999Micros int64       `json:"P999"`
+		MaxMicros  int64       `json:"Max"`
 	}
 	output := struct {
 		Due          int     `json:"Asked"`
 		Sent         int     `json:"Sent"`
-		WantedRate   float64 `json:"Wanted"`
+		TargetRate   float64 `json:"Wanted"`
 		SentRate     float64 `json:"Got"`
-		Sustained    bool    `json:"Held"`
+		RateHeld     bool    `json:"Held"`
 		MaxLagMicros int64   `json:"MostLagUS"`
 		Classes      []class `json:"Classes"`
 		P50Micros    int64   `json:"P50"`
 		P99Micros    int64   `json:"P99"`
 		MaxMicros    int64   `json:"MaxUS"`
-	}{Due: result.Due, Sent: result.Sent, WantedRate: result.TargetRate, SentRate: result.SentRate, Sustained: result.RateHeld, MaxLagMicros: result.MaxLag.Microseconds(),
+	}{Due: result.Due, Sent: result.Sent, TargetRate: result.TargetRate, SentRate: result.SentRate, RateHeld: result.RateHeld, MaxLagMicros: result.MaxLag.Microseconds(),
 		P50Micros: result.All.ValueAtQuantile(50), P99Micros: result.All.ValueAtQuantile(99), MaxMicros: result.All.Max()}
 	for _, c := range result.Classes {
 		latency := c.Latency
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -41,7 +41,7 @@
 	AdminListen  string // address of the admin server; empty disables it
 	Limits       Limits
 	Hooks        []string // script files, in the order in which they are called
-	KnownWorkers []byte   // service table from an earlier run, in discovery's JSON format; nil for none
+	KnownWorkers []byte   // workers listed in an earlier run, in discovery's JSON format; nil for none
 	Settings     *balance.Settings
 	Names        *Names
 }
@@ -148,7 +148,7 @@
 	if cfg.Settings.ConnectTimeout <= 0 {
 		return nil, errors.New("settings: limits.dial_timeout_s: not above 0")
 	}
-	// The socket protocol has neither probes nor messages between dispatchers.
+	// Unlike the simulator, the platform's protocol has neither probes nor messages between dispatchers.
 	cfg.Settings.AllowProbes, cfg.Settings.AllowPeerMessages = false, false
 	return cfg, nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -28,7 +28,7 @@
 // Fleet is the content of the fleet file: the fleet that a dispatcher belongs to.
 type Fleet struct {
 	Ledger            ledger.Settings
-	Terms             ledger.Timing
+	Timing            ledger.Timing
 	Voters            map[string]Voter // by name, with addresses as seen from this host; a voter listens at its own
 	VoterDir          string           // directory of this process's Raft log; empty if it does not vote
 	Bootstrap         bool             // whether the Raft log directory may be empty because the fleet is new
@@ -80,34 +80,34 @@
 //
 //revive:disable-next-line:function-length handles the keys of one file in sequence
 func ParseFleet(text, name string, settings *balance.Settings, names *Names) (*Fleet, error) {
-	type part struct {
+	type memberRule struct {
 		Weight  int64   `toml:"weight"`
 		Floor   float64 `toml:"floor"`
 		Ceiling float64 `toml:"ceiling"`
 	}
 	var file struct {
-		Fleet      string   `toml:"fleet"`
-		Generation *int64   `toml:"generation"`
-		Members    *int64   `toml:"members"`
-		Lease      string   `toml:"lease"`
-		Linger     string   `toml:"linger"`
-		Drift      *float64 `toml:"drift"`
-		Voter      struct {
-			Dir   string `toml:"dir"`
-			Begin bool   `toml:"begin"`
-			Pace  string `toml:"pace"`
+		Fleet       string   `toml:"fleet"`
+		Generation  *int64   `toml:"generation"`
+		Members     *int64   `toml:"members"`
+		Lease       string   `toml:"lease"`
+		GracePeriod string   `toml:"linger"`
+		Drift       *float64 `toml:"drift"`
+		Voter       struct {
+			Dir               string `toml:"dir"`
+			Bootstrap         bool   `toml:"begin"`
+			HeartbeatInterval string `toml:"pace"`
 		} `toml:"voter"`
 		Voters  map[string]Voter `toml:"voters"`
 		Version *int64           `toml:"version"`
 		Budget  map[string]struct {
-			Tenant string          `toml:"tenant"`
-			Counts string          `toml:"counts"`
-			Whole  float64         `toml:"whole"`
-			Burst  float64         `toml:"burst"`
-			Lend   bool            `toml:"lend"`
-			Share  float64         `toml:"share"`
-			Saved  *float64        `toml:"saved"`
-			Part   map[string]part `toml:"part"`
+			Tenant   string                `toml:"tenant"`
+			Counts   string                `toml:"counts"`
+			Total    float64               `toml:"whole"`
+			Burst    float64               `toml:"burst"`
+			Lend     bool                  `toml:"lend"`
+			Share    float64               `toml:"share"`
+			MaxSaved *float64              `toml:"saved"`
+			Rules    map[string]memberRule `toml:"part"`
 		} `toml:"budget"`
 	}
 	meta, err := toml.Decode(text, &file)
@@ -124,11 +124,11 @@
 	check := validator{}
 	fleet := &Fleet{Ledger: ledger.Settings{Fleet: file.Fleet, Generation: uint64(check.count("generation", file.Generation, 1, math.MaxInt64)),
 		MaxMembers: int(check.count("members", file.Members, defaultMaxMembers, 4096))},
-		Terms:  ledger.Timing{Lease: check.duration("lease", file.Lease, defaultLease), GracePeriod: check.duration("linger", file.Linger, longestDeadline), MaxDrift: defaultClockDrift},
-		Voters: file.Voters, HeartbeatInterval: check.duration("voter.pace", file.Voter.Pace, defaultHeartbeatInterval),
+		Timing: ledger.Timing{Lease: check.duration("lease", file.Lease, defaultLease), GracePeriod: check.duration("linger", file.GracePeriod, longestDeadline), MaxDrift: defaultClockDrift},
+		Voters: file.Voters, HeartbeatInterval: check.duration("voter.pace", file.Voter.HeartbeatInterval, defaultHeartbeatInterval),
 		BudgetVersion: uint64(check.count("version", file.Version, 1, math.MaxInt64)), Tenants: map[int]TenantBudget{}}
 	if file.Drift != nil {
-		fleet.Terms.MaxDrift = *file.Drift
+		fleet.Timing.MaxDrift = *file.Drift
 	}
 	switch {
 	case file.Fleet == "":
@@ -137,15 +137,15 @@
 		check.fail("fleet: this dispatcher has no name")
 	case len(file.Voters) == 0:
 		check.fail("voters: no voter is listed")
-	case fleet.Terms.MaxDrift < 0 || fleet.Terms.MaxDrift > maxClockDrift:
-		check.fail("drift: %v is not from 0 to %v", fleet.Terms.MaxDrift, maxClockDrift)
-	case fleet.Terms.Lease < minLease:
-		check.fail("lease: %v is under %v", fleet.Terms.Lease, minLease)
-	case fleet.Terms.GracePeriod < longestDeadline:
-		check.fail("linger: %v is under the longest deadline, %v", fleet.Terms.GracePeriod, longestDeadline)
+	case fleet.Timing.MaxDrift < 0 || fleet.Timing.MaxDrift > maxClockDrift:
+		check.fail("drift: %v is not from 0 to %v", fleet.Timing.MaxDrift, maxClockDrift)
+	case fleet.Timing.Lease < minLease:
+		check.fail("lease: %v is under %v", fleet.Timing.Lease, minLease)
+	case fleet.Timing.GracePeriod < longestDeadline:
+		check.fail("linger: %v is under the longest deadline, %v", fleet.Timing.GracePeriod, longestDeadline)
 	case file.Voter.Dir != "" && file.Voters[name] == Voter{}:
 		check.fail("voter.dir: %s is not among the voters", name)
-	case file.Voter.Dir == "" && file.Voter.Begin:
+	case file.Voter.Dir == "" && file.Voter.Bootstrap:
 		check.fail("voter.begin: without voter.dir")
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Voters)) {
@@ -153,7 +153,7 @@
 			check.fail("voters.%s: raft and ledger are both needed", name)
 		}
 	}
-	fleet.VoterDir, fleet.Bootstrap = file.Voter.Dir, file.Voter.Begin
+	fleet.VoterDir, fleet.Bootstrap = file.Voter.Dir, file.Voter.Bootstrap
 	toMilli := func(key string, x float64) int64 {
 		if x < 0 || x > float64(share.MaxAmount)/1000 || math.IsNaN(x) {
 			check.fail("%s: %v is not from 0 to %d", key, x, share.MaxAmount/1000)
@@ -163,17 +163,17 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(file.Budget)) {
 		entry, key := file.Budget[name], "budget."+name
-		budget := ledger.Budget{Name: name, Kind: ledger.KindRate, Total: toMilli(key+".whole", entry.Whole), Burst: toMilli(key+".burst", entry.Burst),
+		budget := ledger.Budget{Name: name, Kind: ledger.KindRate, Total: toMilli(key+".whole", entry.Total), Burst: toMilli(key+".burst", entry.Burst),
 			LendFloors: entry.Lend, Rules: map[string]ledger.AllocationRule{}}
 		if minBurst := int64(fleet.Ledger.MaxMembers) * 1000; budget.Burst < minBurst && entry.Counts != "connections" {
 			check.fail("%s.burst: %v is under the number of members, %d", key, entry.Burst, fleet.Ledger.MaxMembers)
 		}
-		for member, p := range entry.Part {
-			partKey := key + ".part." + member
-			if p.Weight < 0 || p.Weight > 1000 {
-				check.fail("%s.weight: %d is not from 0 to 1000", partKey, p.Weight)
+		for member, rule := range entry.Rules {
+			ruleKey := key + ".part." + member
+			if rule.Weight < 0 || rule.Weight > 1000 {
+				check.fail("%s.weight: %d is not from 0 to 1000", ruleKey, rule.Weight)
 			}
-			budget.Rules[member] = ledger.AllocationRule{Weight: p.Weight, Floor: toMilli(partKey+".floor", p.Floor), Ceiling: toMilli(partKey+".ceiling", p.Ceiling)}
+			budget.Rules[member] = ledger.AllocationRule{Weight: rule.Weight, Floor: toMilli(ruleKey+".floor", rule.Floor), Ceiling: toMilli(ruleKey+".ceiling", rule.Ceiling)}
 		}
 		if entry.Counts == "connections" {
 			budget.Kind, budget.Burst = ledger.KindConcurrency, 0
@@ -183,9 +183,9 @@
 			case fleet.ConnectionBudget != "":
 				check.fail("%s.counts: budget %s already counts connections", key, fleet.ConnectionBudget)
 			case budget.Total%1000 != 0:
-				check.fail("%s.whole: %v is not a whole number", key, entry.Whole)
-			case fleet.Terms.GracePeriod < settings.ConnIdleTimeout: // idle connections of a stopped process stay open until the worker closes them
-				check.fail("linger: %v is under the time after which workers close idle connections, %v", fleet.Terms.GracePeriod, settings.ConnIdleTimeout)
+				check.fail("%s.whole: %v is not a whole number", key, entry.Total)
+			case fleet.Timing.GracePeriod < settings.ConnIdleTimeout: // idle connections of a stopped process stay open until the worker closes them
+				check.fail("linger: %v is under the time after which workers close idle connections, %v", fleet.Timing.GracePeriod, settings.ConnIdleTimeout)
 			}
 			fleet.ConnectionBudget = name
 		}
@@ -195,8 +195,8 @@
 		}
 		if entry.Counts == "repeats" {
 			repeats := &RepeatBudget{Budget: name, ShareMilli: toMilli(key+".share", entry.Share), MaxSavedMilli: defaultMaxSavedRepeats * 1000}
-			if entry.Saved != nil {
-				repeats.MaxSavedMilli = toMilli(key+".saved", *entry.Saved)
+			if entry.MaxSaved != nil {
+				repeats.MaxSavedMilli = toMilli(key+".saved", *entry.MaxSaved)
 			}
 			switch {
 			case entry.Tenant != "":
@@ -209,7 +209,7 @@
 			fleet.Repeats = repeats
 			continue
 		}
-		if entry.Share != 0 || entry.Saved != nil {
+		if entry.Share != 0 || entry.MaxSaved != nil {
 			check.fail("%s: share and saved are only allowed in a budget that counts repeats", key)
 		}
 		tenant, ok := names.Tenant[entry.Tenant]
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -19,7 +19,7 @@
 	text := string(data)
 	fleet, err := ParseFleet(text, "n0", s, names)
 	require.NoError(t, err)
-	require.Equal(t, 25*time.Second, fleet.Terms.GracePeriod)
+	require.Equal(t, 25*time.Second, fleet.Timing.GracePeriod)
 	require.Equal(t, map[int]TenantBudget{3: {Budget: "argane"}}, fleet.Tenants)
 	require.EqualValues(t, 21000, fleet.Budgets[0].Total)
 	require.EqualValues(t, 3000, fleet.Budgets[0].Rules["n0"].Floor)
@@ -33,8 +33,8 @@
 	withRepeats, err = ParseFleet(withConnections, "n0", s, names)
 	require.NoError(t, err)
 	require.Equal(t, "each", withRepeats.ConnectionBudget)
-	for old, now := range map[string]string{"whole = 12": "whole = 1.5", "whole = 12\n": "whole = 12\nburst = 20\n"} {
-		_, err = ParseFleet(strings.Replace(withConnections, old, now, 1), "n0", s, names)
+	for old, replacement := range map[string]string{"whole = 12": "whole = 1.5", "whole = 12\n": "whole = 12\nburst = 20\n"} {
+		_, err = ParseFleet(strings.Replace(withConnections, old, replacement, 1), "n0", s, names)
 		require.ErrorContains(t, err, "budget.each")
 	}
 	s.ConnIdleTimeout = time.Minute
@@ -42,7 +42,7 @@
 	require.ErrorContains(t, err, "linger: 25s is under the time after which workers close idle connections, 1m0s")
 	s.ConnIdleTimeout = 0
 
-	for _, c := range []struct{ old, text, says string }{
+	for _, c := range []struct{ old, text, wantErr string }{
 		{`fleet = "agadir-prix"`, ``, "fleet: missing"},
 		{`lease = "2s"`, `lease = "2"`, "lease:"},
 		{`lease = "2s"`, `lease = "50ms"`, "lease: 50ms is under"},
@@ -64,7 +64,7 @@
 	} {
 		require.Contains(t, text, c.old)
 		_, err := ParseFleet(strings.Replace(text, c.old, c.text, 1), "n0", s, names)
-		require.ErrorContains(t, err, c.says)
+		require.ErrorContains(t, err, c.wantErr)
 	}
 	_, err = ParseFleet(strings.Replace(text, "version = 1", "version = 1\nvoter.dir = \"x\"", 1), "n9", s, names)
 	require.ErrorContains(t, err, "voter.dir: n9 is not among the voters")
--- a/internal/config/gearman.go
+++ b/internal/config/gearman.go
@@ -103,11 +103,11 @@
 			MaxFile  *int64 `toml:"max_file_bytes"`
 		} `toml:"store"`
 		Retry struct {
-			Offers  *int64 `toml:"offers"`
-			Sends   *int64 `toml:"sends"`
-			Backoff string `toml:"backoff"`
-			Most    string `toml:"backoff_most"`
-			Expiry  string `toml:"expiry"`
+			Offers     *int64 `toml:"offers"`
+			Sends      *int64 `toml:"sends"`
+			Backoff    string `toml:"backoff"`
+			MaxBackoff string `toml:"backoff_most"`
+			Expiry     string `toml:"expiry"`
 		} `toml:"retry"`
 		Pace struct {
 			Window *int64 `toml:"window"`
@@ -140,7 +140,7 @@
 	result.Limits.Bytes = int(check.count("limits.bytes", file.Limits.Bytes, defaultMaxJobBytes, 1<<40))
 	result.Retry = recovery.Limits{MaxOffers: int(check.count("retry.offers", file.Retry.Offers, defaultMaxOffers, 1000)),
 		MaxSends:    int(check.count("retry.sends", file.Retry.Sends, defaultMaxSends, 10_000)),
-		BaseBackoff: check.duration("retry.backoff", file.Retry.Backoff, defaultBackoff), MaxBackoff: check.duration("retry.backoff_most", file.Retry.Most, defaultMaxBackoff),
+		BaseBackoff: check.duration("retry.backoff", file.Retry.Backoff, defaultBackoff), MaxBackoff: check.duration("retry.backoff_most", file.Retry.MaxBackoff, defaultMaxBackoff),
 		Expiry: check.duration("retry.expiry", file.Retry.Expiry, defaultExpiry)}
 	if result.Retry.MaxBackoff < result.Retry.BaseBackoff {
 		check.fail("retry.backoff_most: %v is under retry.backoff", result.Retry.MaxBackoff)
@@ -179,7 +179,7 @@
 				continue
 			}
 			if *field.to, err = time.ParseDuration(field.text); err != nil || *field.to <= 0 {
-				return nil, fmt.Errorf("function.%s.%s: %q is not a time above 0", name, field.key, field.text)
+				return nil, fmt.Errorf("function.%s.%s: %q is not a duration above 0", name, field.key, field.text)
 			}
 		}
 		if function.Tenant != "" {
@@ -223,7 +223,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		v.fail("%s: %q is not a time above 0", key, text)
+		v.fail("%s: %q is not a duration above 0", key, text)
 	}
 	return d
 }
--- a/internal/config/telemetry.go
+++ b/internal/config/telemetry.go
@@ -57,17 +57,17 @@
 		Traces      *bool             `toml:"traces"`
 		Metrics     *bool             `toml:"metrics"`
 		Logs        *bool             `toml:"logs"`
-		Regions     *int64            `toml:"regions"`
+		Workers     *int64            `toml:"regions"`
 		Tenants     *int64            `toml:"tenants"`
 		Sampling    struct {
-			Bytes *int64 `toml:"bytes"`
-			Rate  *int64 `toml:"rate"`
-			Slow  string `toml:"slow"`
+			MaxBytes *int64 `toml:"bytes"`
+			Rate     *int64 `toml:"rate"`
+			Slow     string `toml:"slow"`
 		} `toml:"sampling"`
 		Spool struct {
-			Dir   string `toml:"dir"`
-			Bytes *int64 `toml:"bytes"`
-			Pace  string `toml:"pace"`
+			Dir      string `toml:"dir"`
+			MaxBytes *int64 `toml:"bytes"`
+			Interval string `toml:"pace"`
 		} `toml:"spool"`
 	}
 	if path != "" {
@@ -81,11 +81,11 @@
 	}
 	check := validator{}
 	result := &Telemetry{Endpoints: map[otlp.Signal]otlp.Endpoint{}, SpoolDir: file.Spool.Dir,
-		Sampling: tailsampling.Limits{MaxBytes: check.count("sampling.bytes", file.Sampling.Bytes, defaultSamplingBytes, 1<<32),
+		Sampling: tailsampling.Limits{MaxBytes: check.count("sampling.bytes", file.Sampling.MaxBytes, defaultSamplingBytes, 1<<32),
 			TracesPerSecond: float64(check.count("sampling.rate", file.Sampling.Rate, defaultTraceRate, 1_000_000))},
 		MetricInterval:  check.duration("metric_interval", file.Interval, defaultMetricInterval),
-		MaxWorkerSeries: int(check.count("regions", file.Regions, defaultMaxWorkerSeries, 1900)), MaxTenantSeries: int(check.count("tenants", file.Tenants, defaultMaxTenantSeries, 1900)),
-		SpoolMaxBytes: check.count("spool.bytes", file.Spool.Bytes, defaultSpoolBytes, 1<<40), SpoolInterval: check.duration("spool.pace", file.Spool.Pace, defaultSpoolInterval)}
+		MaxWorkerSeries: int(check.count("regions", file.Workers, defaultMaxWorkerSeries, 1900)), MaxTenantSeries: int(check.count("tenants", file.Tenants, defaultMaxTenantSeries, 1900)),
+		SpoolMaxBytes: check.count("spool.bytes", file.Spool.MaxBytes, defaultSpoolBytes, 1<<40), SpoolInterval: check.duration("spool.pace", file.Spool.Interval, defaultSpoolInterval)}
 	if file.Sampling.Slow != "" {
 		result.Sampling.SlowThreshold = check.duration("sampling.slow", file.Sampling.Slow, 0)
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -14,8 +14,8 @@
 // or another scrape is waiting already, the last count is reported.
 const workerCountTimeout = 200 * time.Millisecond
 
-// startAdminServer starts the admin server. It answers from the cores, the set of detached workers and ready,
-// and never waits long for a core.
+// startAdminServer starts the admin server. Its answers come from the cores, the set of detached workers and
+// ready, and it never waits long for a core.
 func (d *Daemon) startAdminServer(ready func() bool) (*ops.Server, error) {
 	listener, err := d.Listen("tcp", d.Config.AdminListen)
 	if err != nil {
--- a/internal/daemon/components.go
+++ b/internal/daemon/components.go
@@ -21,7 +21,7 @@
 	runCtx    context.Context // canceled only after draining, which needs the components
 	cancelRun context.CancelFunc
 	shutdown  context.CancelFunc // begins the shutdown
-	serveErrs chan error         // receives an error when a client server cannot go on
+	serveErrs chan error         // receives the error of a client server that has failed
 	closers   []func()
 
 	sockets, clientSockets          int // descriptors of each client server, and how many of them are for clients
@@ -81,7 +81,7 @@
 	}
 	inst.Log = slog.New(inst.exporter.LogHandler(localLog.Handler()))
 	inst.onClose(func() {
-		inst.cancelRun() // the cores report nothing more
+		inst.cancelRun() // the cores stop reporting
 		if err := inst.exporter.Close(); err != nil {
 			localLog.Warn("telemetry was not closed cleanly", "err", err)
 		}
@@ -112,7 +112,7 @@
 		return err
 	}
 	inst.onClose(func() {
-		inst.cancelRun() // the cores admit nothing more
+		inst.cancelRun() // the cores stop admitting jobs
 		if err := inst.fleet.Close(); err != nil {
 			inst.Log.Warn("fleet membership was not closed cleanly", "err", err)
 		}
@@ -172,7 +172,7 @@
 	startJobs, closeStore := inst.openJobStore(inst.runCtx, &options, log)
 	server := gearman.NewServer(core, options)
 	startJobs()
-	inst.onClose(func() { // after the last answer, when no stored job is offered any more
+	inst.onClose(func() { // after the last answer, when no more stored jobs are offered
 		inst.cancelRun()
 		closeStore()
 	})
--- a/internal/daemon/conformance_test.go
+++ b/internal/daemon/conformance_test.go
@@ -14,7 +14,7 @@
 	"tinroute.example/tinroute/internal/lab/conform"
 )
 
-// scriptedProtocol passes the connections to its workers to a conformance player, which answers on them.
+// scriptedProtocol passes the connections to its workers to the conformance runner, which answers on them.
 type scriptedProtocol struct {
 	gearmanProtocol
 	conns chan net.Conn
@@ -38,7 +38,7 @@
 				s.workers["a"] = newFakeWorker(s, "a", "0")
 				s.start(nil)
 				defer s.finish()
-				p := conform.Runner{Timeout: 3 * time.Second,
+				runner := conform.Runner{Timeout: 3 * time.Second,
 					Vars: conform.Vars{"$f": "price-read", "$soon": strconv.FormatInt(time.Now().Add(2*time.Second).Unix(), 10)},
 					Dial: func(ctx context.Context) (net.Conn, error) { return s.net.Dial(ctx, "tcp", proto.address()) },
 					Accept: func(ctx context.Context, _ string) (net.Conn, error) {
@@ -49,13 +49,13 @@
 							return nil, ctx.Err()
 						}
 					}}
-				require.NoError(t, p.Run(t.Context(), c))
+				require.NoError(t, runner.Run(t.Context(), c))
 			})
 		})
 	}
 }
 
-// Each of these lines is wrong and has to fail, to show that the suite detects violations.
+// Each of these cases is wrong for a correct daemon and has to fail, to show that the suite detects violations.
 func TestConformanceDetectsViolations(t *testing.T) {
 	for _, lines := range [][]string{
 		{"send 1 ECHO_REQ a", "expect 1 ECHO_RES b"},
@@ -69,8 +69,8 @@
 			s := newScenario(t, &pipeNetwork{}, &gearmanProtocol{}, true)
 			s.start(nil)
 			defer s.finish()
-			p := conform.Runner{Timeout: time.Second, Dial: func(ctx context.Context) (net.Conn, error) { return s.net.Dial(ctx, "tcp", "gearman") }}
-			require.Error(t, p.Run(t.Context(), conform.Case{Lines: lines}), "%q", lines)
+			runner := conform.Runner{Timeout: time.Second, Dial: func(ctx context.Context) (net.Conn, error) { return s.net.Dial(ctx, "tcp", "gearman") }}
+			require.Error(t, runner.Run(t.Context(), conform.Case{Lines: lines}), "%q", lines)
 		})
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,10 +31,10 @@
 	// streams and connections that are being closed.
 	reservedSockets = 48
 	maxSockets      = 1024
-	// clientSocketShare is the part of the other descriptors that is for clients and the workers'
+	// clientSocketShare is the share of the other descriptors that is for clients and the workers'
 	// callbacks; the rest is for connections to workers.
 	clientSocketShare = 0.6
-	// gcMemoryShare is the part of the memory limit from which the garbage collector runs harder.
+	// gcMemoryShare is the share of the memory limit from which the garbage collector runs more often.
 	gcMemoryShare = 0.75
 	// After asking a process to stop, the platform waits at least for the longest deadline (capped
 	// at maxKillWait) plus killGrace before it kills the process. A request that arrives more than
@@ -75,7 +75,7 @@
 	Fleet   *config.Fleet
 }
 
-// clientServer is a server for the clients of one protocol, with a core and workers of its own.
+// clientServer is a server for the clients of one protocol, with its own core and connections to workers.
 type clientServer interface {
 	Serve(net.Listener) error
 	Drain(context.Context, link.DrainSchedule)
@@ -237,7 +237,7 @@
 }
 
 // reloadOnSignal reads the files again at each reload signal, until ctx is canceled after the last answer.
-// It does so while the daemon drains too, since an open request may need a worker that only the new
+// It also does so while the daemon drains, since an open request may need a worker that only the new
 // discovery server lists. Only the discovery addresses and the fleet file are applied; all other
 // settings require a restart. Files with an error change nothing.
 func (d *Daemon) reloadOnSignal(ctx context.Context, httpDiscovery, gearmanDiscovery *platform.DiscoveryClient) {
--- a/internal/daemon/fakes_test.go
+++ b/internal/daemon/fakes_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// fakeDiscovery is a discovery server with a service table set by the scenario.
+// fakeDiscovery is a discovery server with a list of workers set by the scenario.
 type fakeDiscovery struct {
 	scenario *scenario
 	listener net.Listener
@@ -236,7 +236,7 @@
 	changed  chan struct{}
 	done     chan struct{}
 	conns    []net.Conn
-	silent   map[net.Conn]bool // connections on which nothing is sent any more
+	silent   map[net.Conn]bool // connections on which nothing more is sent
 	down     bool              // whether requests are rejected
 }
 
--- a/internal/daemon/oncall_test.go
+++ b/internal/daemon/oncall_test.go
@@ -14,7 +14,7 @@
 var logCall = regexp.MustCompile(`(?:\b[lL]og\.(?:Info|Warn|Error)\(|\bsay\(\w+, |malformed\(|[cC]omplain\(|warnOnce\(|limitedLog\.Report\(|\.poll\()"([^"]+)"`)
 
 // The on-call page has to explain every message that the daemon logs.
-func TestOnCallPageKnowsEveryLine(t *testing.T) {
+func TestOnCallPageExplainsEveryLogMessage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	require.NoError(t, err)
 	count := 0
--- a/internal/daemon/scenario_test.go
+++ b/internal/daemon/scenario_test.go
@@ -26,7 +26,7 @@
 
 // scenario runs a scenario. The first line of a scenario lists the workers with their cells, and
 // scripts. Every other line is a verb followed by the party it applies to: a number is a client's
-// request, a small letter a worker, a capital letter the worker that is first to get an attempt,
+// request, a lowercase letter a worker, an uppercase letter the worker that is first to get an attempt,
 // "table" the discovery server, and "dispatcher" the daemon.
 //
 //	send 1 CLASS [half]        a client sends request 1, or the first half of its bytes
@@ -37,7 +37,7 @@
 //	send table a STATE         discovery reports a state of worker a
 //	send table SILENT          open connections to discovery send nothing any more; new ones work
 //	send table DOWN|UP         discovery rejects requests, or answers them again
-//	send dispatcher TERM       the daemon is asked to stop
+//	send dispatcher TERM       the daemon is stopped, as by the signal
 //	send dispatcher START      the daemon is started again after it has stopped, with the same job store
 //	send 1 PACKET ARGS ...     a Gearman client sends a packet, in the language of internal/lab/conform
 //	expect 1 PACKET ARGS ...   the client receives a packet
@@ -51,7 +51,7 @@
 //	expect 1 served|refused|failed|unfit
 //	expect a task 1            worker a received an attempt at request 1
 //	expect a cancel 1          worker a received a cancel of request 1
-//	expect none                nothing has happened that no line expects
+//	expect none                every recorded event was expected by a line
 //	close 1 | a | a 1 | table  a client disconnects, worker a dies, the connection with request 1 at worker a is
 //	                           closed, discovery stops
 //	wait 1s
@@ -93,8 +93,8 @@
 	s.counts[strings.Fields(event)[1]]++
 }
 
-// takeEvent removes the first event that matches and reports whether there was one. A capital letter
-// matches any worker and is bound to the first that matches.
+// takeEvent removes the first event that matches and reports whether there was one. An uppercase letter
+// matches any worker at first, and from then on the worker that matched.
 func (s *scenario) takeEvent(who, what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +229,7 @@
 	s.waitIdle()
 	for deadline := time.Now().Add(5 * time.Second); !conn.TakeMatch(words[2:], s.vars); {
 		if time.Now().After(deadline) {
-			require.FailNow(s.t, "did not happen: "+line, "came: %v", conn.Unmatched())
+			require.FailNow(s.t, "did not happen: "+line, "received: %v", conn.Unmatched())
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -298,7 +298,7 @@
 			return
 		}
 		if s.fakeClock || time.Now().After(deadline) {
-			require.FailNow(s.t, "did not happen: "+line, "came: %q", got)
+			require.FailNow(s.t, "did not happen: "+line, "received: %q", got)
 		}
 	}
 }
--- a/internal/daemon/telemetry_test.go
+++ b/internal/daemon/telemetry_test.go
@@ -82,11 +82,12 @@
 }
 
 // Over both transports and for both protocols, the exported spans contain every request, each of its
-// attempts once with a link to the attempt that it repeats, and phases that cover the whole request.
+// attempts once with a link to the attempt that it repeats, and phases that together cover the
+// request's full duration.
 func TestTelemetry(t *testing.T) {
 	for name, want := range map[string]struct {
 		verdicts map[string]int
-		tasks    int
+		attempts int
 		links    int
 	}{
 		"served":    {nil, -1, -1},
@@ -119,7 +120,7 @@
 					}
 					if want.verdicts != nil {
 						require.Equal(t, want.verdicts, verdicts, name)
-						require.Equal(t, []int{want.tasks, want.links}, []int{attempts, links}, name)
+						require.Equal(t, []int{want.attempts, want.links}, []int{attempts, links}, name)
 					}
 					require.NotEmpty(t, c.spans)
 					for _, m := range []string{"tinroute.request.duration", "tinroute.phase.duration", "tinroute.answers", "tinroute.queue", "tinroute.region.slots",
@@ -177,12 +178,12 @@
 func TestCollectorFailures(t *testing.T) {
 	text, err := os.ReadFile("testdata/both/safe-lost.txt")
 	require.NoError(t, err)
-	for name, script := range map[string]collector.Behavior{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "half": {Mode: collector.TruncateResponse},
+	for name, behavior := range map[string]collector.Behavior{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "half": {Mode: collector.TruncateResponse},
 		"reset": {Mode: collector.Reset}, "refuse": {Mode: collector.Refuse, Status: 503, RetryAfter: "3600"}, "cut": {Mode: collector.CloseMidRequest}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := newFakeCollector(t)
-			c.SetBehavior(script)
+			c.SetBehavior(behavior)
 			began := time.Now()
 			runScenario(t, string(text), &loopbackNetwork{}, &observedProtocol{&httpProtocol{}, c.env(false)}, false)
 			require.Less(t, time.Since(began), 8*time.Second)
--- a/internal/fleet/budget/budget.go
+++ b/internal/fleet/budget/budget.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// Take takes amount thousandths if they are available. Otherwise it returns how long until they would be
+// Take consumes amount thousandths if they are available. Otherwise it returns how long until they would be
 // under the current grant; unavailable is true if the current grant can never admit them.
 func (r *RateLimiter) Take(now time.Duration, amount int64) (ok bool, wait time.Duration, unavailable bool) {
 	// Accrue in whole microseconds; otherwise frequent calls would each lose a fraction of one.
@@ -143,7 +143,7 @@
 // SampleDemand updates and returns the estimated demand, admitted or not, in thousandths per second.
 // The count between two calls is noisy, and shares that follow the noise are idle at one dispatcher and
 // missing at another. So the estimate is a smoothed average that moves a quarter of the way to the new
-// sample, except that it takes the sample's value at once if DemandChanged reports a significant change.
+// sample, except that it becomes the sample at once if DemandChanged reports a significant change.
 func (r *RateLimiter) SampleDemand(now time.Duration) int64 {
 	if elapsed := (now - r.sampledAt).Seconds(); elapsed > 0 {
 		requested := float64(r.requested)
@@ -167,8 +167,8 @@
 	return math.Abs(requested-expected) > demandSigmas*math.Sqrt(max(expected, meanRequest)*meanRequest)
 }
 
-// demandSigmas is the deviation from the expected Poisson count, in standard deviations, that is taken
-// for a change of demand.
+// demandSigmas is the deviation from the expected Poisson count, in standard deviations, above which the
+// demand counts as changed.
 const demandSigmas = 3
 
 // RatioLimiter limits one kind of event to a fraction of another, such as repeats to a fraction of first
@@ -182,7 +182,7 @@
 // Earn adds ShareMilli to the saved tokens, up to MaxSavedMilli.
 func (r *RatioLimiter) Earn() { r.saved = min(r.saved+r.ShareMilli, r.MaxSavedMilli) }
 
-// Take takes one whole token and reports whether there was one.
+// Take consumes one full token and reports whether there was one.
 func (r *RatioLimiter) Take() bool {
 	if r.saved < Unit {
 		return false
@@ -202,7 +202,7 @@
 // admitted.
 func (s *Semaphore) SetGrant(_ time.Duration, g Grant) { s.grant = g }
 
-// TryAcquire takes one slot and reports whether the grant allowed it.
+// TryAcquire acquires one slot and reports whether the grant allowed it.
 func (s *Semaphore) TryAcquire(now time.Duration) bool {
 	s.peak = max(s.peak, s.inUse+Unit)
 	if s.inUse+Unit > s.grant.amountAt(now) {
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -8,7 +8,7 @@
 )
 
 // Holder is the protocol state of one member process: it joins the ledger, renews its lease and applies
-// the answers. It sends nothing itself; NextCommand returns what to send and HandleAnswer takes the reply.
+// the answers. It sends nothing itself; NextCommand returns what to send and HandleAnswer handles the reply.
 type Holder struct {
 	fleet, name   string
 	nonce         uint64
@@ -91,7 +91,7 @@
 }
 
 // NextCommand returns the command to send now. After each call, answers to earlier renewals are ignored,
-// so it may be called again whenever an answer takes too long.
+// so it may be called again if an answer is late.
 func (h *Holder) NextCommand(now time.Duration) ledger.Command {
 	if h.incarnation == 0 {
 		return ledger.Command{Fleet: h.fleet, Join: &ledger.Join{Name: h.name, Nonce: h.nonce}}
--- a/internal/fleet/budget/keyed_semaphore.go
+++ b/internal/fleet/budget/keyed_semaphore.go
@@ -15,7 +15,7 @@
 // admitted.
 func (s *KeyedSemaphore) SetGrant(_ time.Duration, g Grant) { s.grant = g }
 
-// TryAcquire takes one slot of key and reports whether the grant allowed it.
+// TryAcquire acquires one slot of key and reports whether the grant allowed it.
 func (s *KeyedSemaphore) TryAcquire(now time.Duration, key string) bool {
 	s.peak = max(s.peak, s.inUse[key]+Unit)
 	if s.inUse[key]+Unit > s.grant.amountAt(now) {
--- a/internal/fleet/budget/rejoin_test.go
+++ b/internal/fleet/budget/rejoin_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	now := 2 * time.Second
 	require.EqualValues(t, 2*Unit, a.RateLimiter("b").MaxUse(now), "its floor remains after the lease")
-	for range 4 { // b takes all that is free, then a rejoins
+	for range 4 { // b is granted all that is free, then a rejoins
 		renew(b, now)
 	}
 	for range 4 {
--- a/internal/fleet/budget/simulation_test.go
+++ b/internal/fleet/budget/simulation_test.go
@@ -20,7 +20,7 @@
 
 // simulation runs a ledger and its holders in virtual time. Messages are delayed, lost and duplicated, the
 // ledger is unavailable and changes leaders, clocks drift, and processes pause, die, and start under a name
-// that is still running. A token bucket behind all holders counts what is admitted.
+// that is still running. A leaky bucket behind all holders measures what they admit.
 type simulation struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -202,17 +202,17 @@
 // checkUsable checks what all running processes could admit now, plus the slots in use. This is stricter
 // than countAdmission, which sees only what they do admit.
 func (sim *simulation) checkUsable() {
-	rate, burst, held := int64(0), int64(0), int64(sim.inUse)*Unit
+	rate, burst, slots := int64(0), int64(0), int64(sim.inUse)*Unit
 	for _, p := range sim.processes {
 		if p.dead || p.stoppedUntil > sim.now {
 			continue
 		}
 		limiter, sem, now := p.holder.rateLimiters["rate"], p.holder.Semaphore("held"), p.clock()
 		rate, burst = rate+limiter.MaxUse(now), burst+limiter.MaxBurst(now)
-		held += max(0, sem.grant.amountAt(now)-sem.inUse)
+		slots += max(0, sem.grant.amountAt(now)-sem.inUse)
 	}
-	if sim.violation == "" && (rate > int64(sim.total*Unit) || burst > int64(sim.burst*Unit) || held > int64(sim.maxInUse)*Unit) {
-		sim.violation = fmt.Sprintf("%v: %d a second and a burst of %d could be admitted and %d held, in thousandths", sim.now, rate, burst, held)
+	if sim.violation == "" && (rate > int64(sim.total*Unit) || burst > int64(sim.burst*Unit) || slots > int64(sim.maxInUse)*Unit) {
+		sim.violation = fmt.Sprintf("%v: %d a second and a burst of %d could be admitted and %d held, in thousandths", sim.now, rate, burst, slots)
 	}
 }
 
@@ -403,8 +403,8 @@
 	require.Greater(t, share, 0.9)
 }
 
-// When the demand is concentrated at one of about five processes and moves to another, a fixed split serves little of it.
-// How much moving the shares serves is limited by the time that reallocation takes.
+// When the demand is concentrated at one of about five processes and moves to another, a fixed split serves
+// little of it. How much shares that follow the demand serve is limited by the time that reallocation takes.
 func TestSharesFollowMovingDemand(t *testing.T) {
 	for _, c := range []struct {
 		every time.Duration
--- a/internal/fleet/cost_benchmark_test.go
+++ b/internal/fleet/cost_benchmark_test.go
@@ -66,10 +66,10 @@
 				l, err := net.Listen(network, addr)
 				return countingListener{l, &bytes}, err
 			}
-			cfg := config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 256}, Terms: ledger.Timing{Lease: 2 * time.Second, GracePeriod: 2 * time.Second, MaxDrift: 0.001},
+			cfg := config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 256}, Timing: ledger.Timing{Lease: 2 * time.Second, GracePeriod: 2 * time.Second, MaxDrift: 0.001},
 				Voters: map[string]config.Voter{}, Bootstrap: true, HeartbeatInterval: time.Second, BudgetVersion: 1,
 				Budgets: []ledger.Budget{{Name: "x", Kind: ledger.KindRate, Total: 1_000_000, Burst: 256_000}}}
-			opts := member.Options{Fleet: "f", Timing: cfg.Terms, Voters: map[string]string{}, RateBudgets: []string{"x"}, Clock: Clock, Log: slog.New(slog.DiscardHandler)}
+			opts := member.Options{Fleet: "f", Timing: cfg.Timing, Voters: map[string]string{}, RateBudgets: []string{"x"}, Clock: Clock, Log: slog.New(slog.DiscardHandler)}
 			for _, name := range []string{"v0", "v1", "v2"} {
 				cfg.Voters[name] = config.Voter{RaftAddr: freeAddr(b), LedgerAddr: freeAddr(b)}
 				opts.Voters[name] = cfg.Voters[name].LedgerAddr
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,7 +52,7 @@
 // processes.
 func Start(opts Options) (*Node, error) {
 	n := &Node{opts: opts, config: opts.Config, rateIndex: map[int]int{}, countsWork: map[int]bool{}, repeatIndex: -1, stop: make(chan struct{})}
-	memberOpts := member.Options{Name: opts.Name, Fleet: opts.Config.Ledger.Fleet, Timing: opts.Config.Terms, Voters: map[string]string{}, Clock: Clock, Log: opts.Log}
+	memberOpts := member.Options{Name: opts.Name, Fleet: opts.Config.Ledger.Fleet, Timing: opts.Config.Timing, Voters: map[string]string{}, Clock: Clock, Log: opts.Log}
 	for name, v := range opts.Config.Voters {
 		memberOpts.Voters[name] = v.LedgerAddr
 	}
@@ -75,15 +75,15 @@
 	return n, nil
 }
 
-// ReloadBudgets takes the budgets of a reloaded fleet file. While this process is the leader, it proposes them
-// under the version in the file. All other settings apply only after a restart.
+// ReloadBudgets replaces the budgets to propose by those of a reloaded fleet file. While this process is the
+// leader, it proposes them under the version in the file. All other settings apply only after a restart.
 func (n *Node) ReloadBudgets(cfg *config.Fleet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.config = cfg
 }
 
-// Admit takes one job from the tenant's budget; work is its work in seconds. It implements balance.Shares.
+// Admit charges one job to the tenant's budget; work is its work in seconds. It implements balance.Shares.
 func (n *Node) Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
 	i, budgeted := n.rateIndex[tenant]
 	if !budgeted {
@@ -95,7 +95,7 @@
 	}
 	ok, wait, unavailable := n.member.Take(i, amount)
 	if !ok && unavailable { // nothing can be admitted before the next grant
-		wait = n.opts.Config.Terms.Lease
+		wait = n.opts.Config.Timing.Lease
 	}
 	return true, ok, wait
 }
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("listen: %w", err)
 	}
-	voter, err := quorum.Start(quorum.Options{Name: n.opts.Name, Voters: addrs, Dir: cfg.VoterDir, Bootstrap: cfg.Bootstrap, Settings: cfg.Ledger, Timing: cfg.Terms,
+	voter, err := quorum.Start(quorum.Options{Name: n.opts.Name, Voters: addrs, Dir: cfg.VoterDir, Bootstrap: cfg.Bootstrap, Settings: cfg.Ledger, Timing: cfg.Timing,
 		HeartbeatInterval: cfg.HeartbeatInterval, Clock: Clock, Log: n.opts.Log})
 	if err != nil {
 		_ = listener.Close()
@@ -194,7 +194,7 @@
 // proposeBudgets proposes the file's budgets while this voter is the leader. It returns nil when the node is
 // closed, or the cause when the voter has failed.
 func (n *Node) proposeBudgets(voter *quorum.Voter) error {
-	ticker := time.NewTicker(n.opts.Config.Terms.Lease / 4)
+	ticker := time.NewTicker(n.opts.Config.Timing.Lease / 4)
 	defer ticker.Stop()
 	lastLogged, leadingSince := "", time.Duration(0)
 	for {
@@ -220,7 +220,7 @@
 		// Grants of the previous generation may still be in use: under members' leases, and then as floors and
 		// running jobs for the grace period.
 		if cfg := n.opts.Config; current.Version == 0 && cfg.Ledger.Generation > 1 {
-			if remaining := cfg.Terms.MaxGrantLifetime() - (Clock() - leadingSince); remaining > 0 {
+			if remaining := cfg.Timing.MaxGrantLifetime() - (Clock() - leadingSince); remaining > 0 {
 				if lastLogged != "waits" {
 					lastLogged = "waits"
 					n.opts.Log.Info("new ledger generation: no budgets until all grants of the previous one have expired", "for", remaining.Round(time.Millisecond))
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 // startSingleNode starts a fleet of one node, with a budget for tenant 0 of total thousandths a second
 // (1,000,000 is 1,000 a second) and one of 50 repeats a second.
 func startSingleNode(t testing.TB, total int64) *Node {
-	cfg := &config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 4}, Terms: ledger.Timing{Lease: time.Second, GracePeriod: time.Second},
+	cfg := &config.Fleet{Ledger: ledger.Settings{Fleet: "f", Generation: 1, MaxMembers: 4}, Timing: ledger.Timing{Lease: time.Second, GracePeriod: time.Second},
 		Voters: map[string]config.Voter{"a": {RaftAddr: freeAddr(t), LedgerAddr: freeAddr(t)}}, VoterDir: t.TempDir(), Bootstrap: true, HeartbeatInterval: 200 * time.Millisecond, BudgetVersion: 1,
 		Budgets: []ledger.Budget{{Name: "again", Kind: ledger.KindRate, Total: 50_000, Burst: 8000}, {Name: "x", Kind: ledger.KindRate, Total: total, Burst: total}},
 		Tenants: map[int]config.TenantBudget{0: {Budget: "x"}}, Repeats: &config.RepeatBudget{Budget: "again", ShareMilli: 500, MaxSavedMilli: 1000}}
--- a/internal/fleet/ledger/commands.go
+++ b/internal/fleet/ledger/commands.go
@@ -17,7 +17,7 @@
 // unit is one whole unit in the thousandths that amounts are counted in.
 const unit = 1000
 
-// AllocationRule is how one member name takes part in a budget. Floor and Ceiling are in thousandths.
+// AllocationRule is how a budget is divided for the members of one name. Floor and Ceiling are in thousandths.
 type AllocationRule struct {
 	Weight  int64 `json:"weight,omitempty"`  // 0 means 1
 	Floor   int64 `json:"floor,omitempty"`   // guaranteed; also usable after the lease unless the budget lends floors
@@ -85,7 +85,7 @@
 	Seq         uint64 `json:"seq"`
 }
 
-// Release removes an expired member and frees what it still held.
+// Release removes an expired member and frees what was still granted to it.
 type Release struct {
 	Incarnation uint64 `json:"incarnation"`
 }
--- a/internal/fleet/ledger/grants.go
+++ b/internal/fleet/ledger/grants.go
@@ -14,7 +14,7 @@
 // reclaimDivisor sets when a share is not reduced: if the reduction is at most 1/32 of what the member uses.
 const reclaimDivisor = 32
 
-// burstFor returns the part of the burst that goes with a share. One unit is reserved for each possible
+// burstFor returns the part of the burst that is granted with a share. One unit is reserved for each possible
 // member, and the rest is divided in proportion to the shares.
 func (b *Budget) burstFor(amount int64, maxMembers int) int64 {
 	rest := max(0, b.Burst-int64(maxMembers)*unit)
--- a/internal/fleet/ledger/snapshot.go
+++ b/internal/fleet/ledger/snapshot.go
@@ -18,7 +18,7 @@
 	Last    uint64             `json:"last"`
 }
 
-// Snapshot encodes the whole state as JSON.
+// Snapshot encodes the complete state as JSON.
 func (s *State) Snapshot() ([]byte, error) {
 	return json.Marshal(snapshot{snapshotFormat, s.Settings, s.budgetVersion, s.budgets, s.members, s.lastIncarnation})
 }
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -29,7 +29,7 @@
 	Expired bool             `json:"lapsed,omitempty"`
 	Granted map[string]int64 `json:"granted"` // the most it may use, by budget
 	Bursts  map[string]int64 `json:"bursts"`  // the most tokens it may accumulate, by budget
-	Floors  map[string]int64 `json:"floors"`  // what it was told it may use after the lease, by budget
+	Floors  map[string]int64 `json:"floors"`  // what it may use after its lease has ended, by budget
 	Demand  map[string]int64 `json:"demand,omitempty"`
 }
 
--- a/internal/fleet/ledger/state_test.go
+++ b/internal/fleet/ledger/state_test.go
@@ -41,7 +41,7 @@
 	require.EqualValues(t, 45*unit, first.Amount)
 	second, err = renew(s, incarnations[1], 2, 0, 200*unit)
 	require.NoError(t, err)
-	require.Zero(t, second.Amount, "the first member was told to shrink, and has not yet reported that it has")
+	require.Zero(t, second.Amount, "the first member's share was reduced, and it has not yet reported that it uses less")
 	_, err = renew(s, incarnations[0], 3, first.Amount, 200*unit)
 	require.NoError(t, err)
 	second, err = renew(s, incarnations[1], 3, 0, 200*unit)
--- a/internal/fleet/ledger/stored_format_test.go
+++ b/internal/fleet/ledger/stored_format_test.go
@@ -44,9 +44,9 @@
 	a := apply(Command{Join: &Join{Name: "a", Nonce: 11}}).Incarnation
 	b := apply(Command{Join: &Join{Name: "b", Nonce: 12}}).Incarnation
 	apply(Command{Join: &Join{Name: "c", Nonce: 13}})
-	uses := map[string]Usage{"rate": {Demand: 40 * unit}, "held": {MaxUse: unit, Demand: 3 * unit}}
-	apply(Command{Renew: &Renew{Incarnation: a, Seq: 1, Usage: uses}})
-	apply(Command{Renew: &Renew{Incarnation: b, Seq: 2, Usage: uses}})
+	usage := map[string]Usage{"rate": {Demand: 40 * unit}, "held": {MaxUse: unit, Demand: 3 * unit}}
+	apply(Command{Renew: &Renew{Incarnation: a, Seq: 1, Usage: usage}})
+	apply(Command{Renew: &Renew{Incarnation: b, Seq: 2, Usage: usage}})
 	apply(Command{Expire: &Expire{Incarnation: a, Seq: 1}})
 	return s
 }
--- a/internal/fleet/measurements.go
+++ b/internal/fleet/measurements.go
@@ -2,10 +2,10 @@
 
 import "tinroute.example/tinroute/internal/fleet/ledger"
 
-// Measurement is one value of a metric, in whole units of its budget.
+// Measurement is one value of a metric, in units of its budget.
 type Measurement struct {
 	Name           string
-	Budget, Holder string // Holder is empty if the value is for the whole fleet
+	Budget, Holder string // Holder is empty if the value is for all holders together
 	Value          float64
 }
 
@@ -59,5 +59,5 @@
 	return all
 }
 
-// units converts thousandths to whole units.
+// units converts thousandths to units.
 func units(milli int64) float64 { return float64(milli) / 1000 }
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -196,7 +196,7 @@
 }
 
 // send sends a command to the voters until one gives a final reply. It starts with the voter that answered
-// last, goes on with the leader that a voter names, and otherwise with the next voter in order.
+// last, continues with the leader that a voter names, and otherwise with the next voter in order.
 func (m *Member) send(ctx context.Context, timeout time.Duration, cmd ledger.Command) (answer ledger.Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -243,8 +243,8 @@
 	return m.closeClients()
 }
 
-// drainConnections stops new connections and waits for a part of the lease until all are closed. It reports
-// whether they are.
+// drainConnections stops new connections and waits until all are closed, for at most one renewal period. It
+// reports whether all are closed.
 func (m *Member) drainConnections() bool {
 	if m.connections == nil {
 		return true
--- a/internal/fleet/quorum/quorum.go
+++ b/internal/fleet/quorum/quorum.go
@@ -238,7 +238,7 @@
 	f(v.fsm.state)
 }
 
-// expireLeases expires leases while this voter is the leader. Each term measures them anew.
+// expireLeases expires leases while this voter is the leader. Each term starts to measure them again.
 func (v *Voter) expireLeases() {
 	monitor := ledger.LeaseMonitor{Timing: v.opts.Timing}
 	ticker := time.NewTicker(max(v.opts.Timing.Lease/10, time.Millisecond))
@@ -336,35 +336,35 @@
 }
 
 // Apply applies one log entry. An entry that cannot be decoded returns an error, and every voter skips it.
-func (m *ledgerFSM) Apply(l *raft.Log) any {
+func (fsm *ledgerFSM) Apply(l *raft.Log) any {
 	var cmd ledger.Command
 	if err := json.Unmarshal(l.Data, &cmd); err != nil {
 		return applyResult{err: fmt.Errorf("quorum: entry %d: %w", l.Index, err)}
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a, err := m.state.Apply(cmd)
+	fsm.mu.Lock()
+	defer fsm.mu.Unlock()
+	a, err := fsm.state.Apply(cmd)
 	return applyResult{a, err}
 }
 
 // Snapshot encodes the state for raft.
-func (m *ledgerFSM) Snapshot() (raft.FSMSnapshot, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	data, err := m.state.Snapshot()
+func (fsm *ledgerFSM) Snapshot() (raft.FSMSnapshot, error) {
+	fsm.mu.Lock()
+	defer fsm.mu.Unlock()
+	data, err := fsm.state.Snapshot()
 	return snapshotData(data), err
 }
 
 // Restore replaces the state with a snapshot.
-func (m *ledgerFSM) Restore(r io.ReadCloser) error {
+func (fsm *ledgerFSM) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	data, err := io.ReadAll(r)
 	if err != nil {
 		return err
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.state.Restore(data)
+	fsm.mu.Lock()
+	defer fsm.mu.Unlock()
+	return fsm.state.Restore(data)
 }
 
 // snapshotData is an encoded snapshot; it implements raft.FSMSnapshot.
--- a/internal/fleet/quorum/quorum_test.go
+++ b/internal/fleet/quorum/quorum_test.go
@@ -101,7 +101,7 @@
 	first, second := budget.NewHolder("f", "one", 1, timing), budget.NewHolder("f", "two", 2, timing)
 	renew := func(h *budget.Holder) {
 		sem := h.Semaphore("b")
-		sem.TryAcquire(clock()) // demands more than it has
+		sem.TryAcquire(clock()) // requests more than it is granted
 		a, err := c.apply(h.NextCommand(clock()))
 		h.HandleAnswer(clock(), a, err)
 	}
--- a/internal/handover/relay.go
+++ b/internal/handover/relay.go
@@ -45,8 +45,8 @@
 	failureLogged atomic.Bool // whether a failed relay has been logged
 }
 
-// NewRelay returns a relay in dir (os.TempDir() if empty) that calls deliver, on a goroutine of
-// its own, with each callback received for this process.
+// NewRelay returns a relay in dir (os.TempDir() if empty) that calls deliver with each callback
+// received for this process. Calls are made on the relay's goroutine and, at the end, by Close.
 func NewRelay(dir string, log *slog.Logger, deliver func(body []byte)) *Relay {
 	if dir == "" {
 		dir = os.TempDir()
@@ -86,8 +86,8 @@
 // PeerCount returns the number of other processes that are alive.
 func (r *Relay) PeerCount() int { return len(*r.peers.Load()) }
 
-// Send puts a callback in the inbox of every other process that is alive, and reports whether any
-// received it.
+// Send puts a callback in the inbox of every other process that is alive, and reports whether
+// it was written to at least one.
 func (r *Relay) Send(body []byte) bool {
 	peers := *r.peers.Load()
 	sent := false
@@ -136,7 +136,7 @@
 	}
 }
 
-// findPeers updates the list of other processes, those with a fresh liveness file.
+// findPeers updates the list of other processes, those whose liveness file is recent.
 func (r *Relay) findPeers() {
 	entries, err := os.ReadDir(r.dir)
 	if err != nil {
--- a/internal/handover/syncer.go
+++ b/internal/handover/syncer.go
@@ -1,7 +1,7 @@
 // Package handover shares state between the old and the new dispatcher process during an upgrade,
 // through files in their common $TMPDIR. A Syncer shares the set of detached workers: each process
 // replaces the file atomically whenever its set changes and reads what the other wrote, and the
-// higher generation wins. A truncated or foreign file is ignored and logged once. A Relay forwards
+// higher generation wins. A truncated or unrecognized file is ignored and logged once. A Relay forwards
 // the workers' callbacks that reach the wrong process.
 package handover
 
@@ -37,7 +37,7 @@
 	Now          func() time.Time // time.Now if nil
 }
 
-// Syncer keeps the set of detached workers and the file in sync. Use New to create one.
+// Syncer keeps the set of detached workers and the file in sync. Use NewSyncer to create one.
 type Syncer struct {
 	options        SyncerOptions
 	path           string
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -1,4 +1,4 @@
-// Package ops implements the admin server: an HTTP/1.1 server at an address of its own, with one
+// Package ops implements the admin server: an HTTP/1.1 server at a separate address, with one
 // request per connection, where operators check readiness, read statistics, and detach and attach
 // workers. It never waits long for a dispatcher core: every request is answered within a second
 // under any load, even while other callers hold idle connections open.
@@ -192,7 +192,7 @@
 			s.limitedLog.Report("malformed admin request", c.RemoteAddr(), "malformed", "err", err)
 			s.writeResponse(c, http.StatusBadRequest, "malformed: "+err.Error())
 		}
-		return // without a response if the caller left or was closed for another connection
+		return // without a response if the caller disconnected or its connection was closed for another one
 	}
 	s.mu.Lock()
 	c.requestRead = true
--- a/internal/ops/stats.go
+++ b/internal/ops/stats.go
@@ -10,8 +10,8 @@
 type Stats struct {
 	Classes     []ClassStats
 	Inflight    int // requests accepted and not yet answered
-	HostsListed int // workers in the service table
-	HostsDown   int // listed workers that are avoided now: drained, detached or held back
+	HostsListed int // workers that discovery lists
+	HostsDown   int // listed workers that are avoided now: draining, detached or held back by the policy
 }
 
 // ClassStats count the requests of one class by outcome, and the attempts at them.
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,5 +1,5 @@
 // Package override keeps the set of workers that operators have detached: until it is attached
-// again, a detached worker is sent nothing new, whatever discovery says. The package does no
+// again, a detached worker is sent no new attempts, whatever discovery reports. The package does no
 // I/O; the caller passes the time in and carries the state to a successor process (see Encode).
 //
 // A Set is safe for concurrent use: the admin server writes to it, and every dispatcher core
@@ -43,7 +43,7 @@
 func New() *Set { return &Set{detached: map[string]time.Time{}, listed: map[string]time.Time{}} }
 
 // Generation returns the generation of the set, which grows with every change made here or adopted.
-// It takes no lock.
+// It does not lock the set.
 func (set *Set) Generation() uint64 { return set.generation.Load() }
 
 // Subscribe returns a channel that receives a signal after each change, unless one is pending.
