--- a/internal/lab/collector/collector.go
+++ b/internal/lab/collector/collector.go
@@ -24,7 +24,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Mode is a way in which a collector answers requests.
+// Mode is how a collector answers requests.
 type Mode string
 
 // The modes.
--- a/internal/lab/collector/collector_test.go
+++ b/internal/lab/collector/collector_test.go
@@ -14,7 +14,7 @@
 )
 
 // sampleSpans returns the spans of a request of 100 ms: it waits 10 ms, runs at worker a for 40 ms until the connection is
-// reset, waits 5 ms, and is served by b in 40 ms. Sending the answer takes 5 ms.
+// reset, waits 5 ms, and is served by worker b in 40 ms. Sending the answer takes 5 ms.
 func sampleSpans(id string) []*Span {
 	base := time.Unix(1_800_000_000, 0)
 	n := 0
--- a/internal/lab/collector/report.go
+++ b/internal/lab/collector/report.go
@@ -108,10 +108,10 @@
 	sum, max time.Duration
 }
 
-func (c *phaseTotal) add(d time.Duration) {
-	c.count++
-	c.sum += d
-	c.max = max(c.max, d)
+func (t *phaseTotal) add(d time.Duration) {
+	t.count++
+	t.sum += d
+	t.max = max(t.max, d)
 }
 
 // phaseOrder lists the phases in the order in which a request passes through them.
--- a/internal/lab/collector/serve.go
+++ b/internal/lab/collector/serve.go
@@ -30,5 +30,5 @@
 		stop: func() { c.Close(); _ = httpServer.Close(); grpcServer.Stop() }}, nil
 }
 
-// Stop stops the server and its open requests.
-func (r *Server) Stop() { r.stop() }
+// Stop stops the server and ends its open requests.
+func (s *Server) Stop() { s.stop() }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -1,13 +1,13 @@
 // Package compare implements well-known load balancing policies to compare with tinroute's own in experiments: random
 // choice, round robin, least outstanding requests, the power of two choices, and join-the-shortest-queue. The last one
-// reads the true state of the workers and is a bound that no real dispatcher reaches.
+// reads the true state of the workers, which no real dispatcher knows, and serves as an upper bound.
 //
 // The policies follow these rules of the emulator's checker: no job goes to a worker that is draining or gone, a job gets
 // at most the allowed number of attempts, a job that may have run is repeated only if its class is idempotent, and every
 // job is answered before its client gives up. Like their textbook versions, they do not limit the load of a cold node.
 // If they overload one, the checker reports it as a violation, and this is part of the result of an experiment.
 //
-// The policies have no queue: a job goes to a worker at once. They do no I/O and get the time from their caller. Only the
+// The policies have no queue: they send each job to a worker immediately. They do no I/O and get the time from their caller. Only the
 // emulator runs them, never a dispatcher.
 package compare
 
--- a/internal/lab/compare/compare_test.go
+++ b/internal/lab/compare/compare_test.go
@@ -26,16 +26,16 @@
 				{Kind: emulate.Fail, At: 2 * time.Second, Duration: 10 * time.Second, Share: 0.1, Magnitude: 0.5},
 				{Kind: emulate.Outage, At: 9 * time.Second, Duration: 4 * time.Second},
 			}
-			w, err := emulate.New(s)
+			sim, err := emulate.New(s)
 			require.NoError(t, err)
-			res := w.Run(time.Minute)
-			var broken []string
-			for _, b := range res.Violations {
-				if !strings.Contains(b, "pushed over") { // they do not limit the load of cold nodes; see the package comment
-					broken = append(broken, b)
+			res := sim.Run(time.Minute)
+			var violations []string
+			for _, violation := range res.Violations {
+				if !strings.Contains(violation, "pushed over") { // they do not limit the load of cold nodes; see the package comment
+					violations = append(violations, violation)
 				}
 			}
-			require.Empty(t, broken, "%s, seed %d", name, seed+1)
+			require.Empty(t, violations, "%s, seed %d", name, seed+1)
 			require.False(t, res.TimedOut, "%s, seed %d: jobs still open at the completion timeout", name, seed+1)
 			require.Positive(t, res.InTime, "%s, seed %d", name, seed+1)
 		}
@@ -110,7 +110,7 @@
 	}
 }
 
-// An attempt that could not connect does not count: a job goes on to the next worker until the allowed number of attempts
+// An attempt that could not connect does not count: a job is sent to further workers until the allowed number of attempts
 // has reached a worker.
 func TestUnreachableWorkersDoNotCountAsAttempts(t *testing.T) {
 	h := &host{}
--- a/internal/lab/conform/packet.go
+++ b/internal/lab/conform/packet.go
@@ -29,7 +29,7 @@
 	return m
 }()
 
-// IsPacketName reports whether Encode accepts the word as the first one: a packet name, or text, raw or type.
+// IsPacketName reports whether Encode accepts the word as its first word: a packet name, or text, raw or type.
 func IsPacketName(word string) bool {
 	_, ok := packetTypes[word]
 	return ok || word == "text" || word == "raw" || word == "type"
@@ -56,8 +56,8 @@
 	return words, nil
 }
 
-// Vars are the variables of a case, such as $h. One that is unset in an expected packet is bound to the argument at its
-// place. In a sent packet it is replaced with its value.
+// Vars are the variables of a case, such as $h. In an expected packet, an unset variable is set to the argument at its
+// position. Set variables are replaced with their values, in sent and in expected packets.
 type Vars map[string]string
 
 // expand replaces the variables in a word.
@@ -103,7 +103,7 @@
 // Message is a packet or a line of text received on a connection, or the end of the connection.
 type Message struct {
 	Type   gearman.Type
-	Args   []string // the only one of a text line is the line
+	Args   []string // for a text line, the line as the only element
 	IsText bool
 	Closed bool
 }
--- a/internal/lab/conform/runner.go
+++ b/internal/lab/conform/runner.go
@@ -28,7 +28,7 @@
 // HasTag reports whether the case has a tag.
 func (c Case) HasTag(tag string) bool { return slices.Contains(c.Tags, tag) }
 
-// Cases returns all test cases. The tags of a case tell what it requires: "worker" a worker that serves the function $f,
+// Cases returns all test cases. The tags of a case state what it requires: "worker" a worker that serves the function $f,
 // "server" that the runner acts as the job servers, "store" that background jobs are stored, "nostore" that they are not,
 // "ours" that the server is tinroute, since the expected answer is specific to it.
 func Cases() ([]Case, error) {
--- a/internal/lab/emulate/checker.go
+++ b/internal/lab/emulate/checker.go
@@ -8,7 +8,7 @@
 	"tinroute.example/tinroute/dispatch"
 )
 
-// drainGrace is how long after it learns of a drain a dispatcher may still send to the node.
+// drainGrace is how long a dispatcher may still send to a node after it has learned that the node drains.
 const drainGrace = time.Second
 
 // maxViolations limits how many violations a result lists.
@@ -133,6 +133,6 @@
 
 func (c *checker) finish() {
 	if c.sim.result.TimedOut {
-		c.violation("%d requests are open at the bound", c.sim.openRequests)
+		c.violation("%d requests are open at the completion timeout", c.sim.openRequests)
 	}
 }
--- a/internal/lab/emulate/model.go
+++ b/internal/lab/emulate/model.go
@@ -117,8 +117,7 @@
 	return x
 }
 
-// epoch is the start of the virtual clock. It lies past the period in which a new dispatcher holds back its first
-// window.
+// epoch is the start of the virtual clock. It is not 0, since a start time of 0 marks a node that has long been warm.
 const epoch = time.Hour
 
 // Simulation is a scenario that is being run.
@@ -185,8 +184,7 @@
 	startKnown bool    // its dispatcher knew that the node had restarted
 }
 
-// A cold node crashes when the work that reaches it within overloadWindow exceeds overloadFactor times its capacity,
-// with an allowance for chance.
+// The overload at which a cold node crashes; see overloadedBy.
 const (
 	overloadWindow = time.Second
 	overloadFactor = 2.5
@@ -222,7 +220,7 @@
 	}
 	n.sim.note("%s falls over", n.Name)
 	if knownSum >= sum*2/3 {
-		n.sim.checker.violation("%s was pushed over %v after its start: %.1f s of work in %v, it can do %.1f", n.Name, n.sim.now-n.started, sum, overloadWindow, capacity*overloadWindow.Seconds())
+		n.sim.checker.violation("%s was pushed over %v after its start: %.1f s of work in %v, its capacity is %.1f", n.Name, n.sim.now-n.started, sum, overloadWindow, capacity*overloadWindow.Seconds())
 	}
 	n.loseJobs(true)
 	n.silent, n.crashed = true, true
--- a/internal/lab/emulate/simulation.go
+++ b/internal/lab/emulate/simulation.go
@@ -97,7 +97,7 @@
 }
 
 // jobCount returns the true number of running and waiting jobs at a node. Among the policies only
-// compare.ShortestQueue, the bound for the others, may use it.
+// compare.ShortestQueue, the upper bound for the others, may use it.
 func (sim *Simulation) jobCount(id balance.WorkerID) int {
 	if n := sim.byID[id]; n != nil {
 		return len(n.running) + len(n.waiting)
@@ -224,7 +224,7 @@
 	case (a.Verdict == dispatch.Refused || class.Idempotency == balance.Idempotent) && r.try < class.MaxTries && took < class.Deadline:
 		// The client submits the request again.
 		next := &request{class: r.class, work: r.work, key: r.key, submittedAt: r.submittedAt, try: r.try + 1}
-		sim.openRequests++ // counted already now, since the simulation could end before the client submits again
+		sim.openRequests++ // counted now, since the simulation could end before the client submits again
 		sim.schedule(max(a.RetryAfter, 50*time.Millisecond), func() { sim.submit(next) })
 	}
 }
--- a/internal/lab/emulate/simulation_test.go
+++ b/internal/lab/emulate/simulation_test.go
@@ -66,11 +66,10 @@
 	}
 }
 
-// 60% of the nodes are replaced within 7 s while many dispatchers send to them without talking to each other. No
-// cold node may be overloaded, and most of the worth must be served. Letting only a few dispatchers send to a cold
-// node at a time, in two windows of three, served 0.918 (80 dispatchers) and 0.840 (324) as the mean of the two seeds,
-// with nodes crashing at n + 3*sqrt(n) + 3 mean jobs. At n + 2*sqrt(n) + 2, which the operators use now, it is 0.928
-// and 0.853.
+// 60% of the nodes are replaced within 7 s while many dispatchers send to them without communicating. No cold node may
+// be overloaded, and most of the worth must be served. Letting only a few dispatchers send to a cold node at a time, in
+// two windows of three, served 0.918 (80 dispatchers) and 0.840 (324) as the mean of the two seeds, with nodes crashing
+// at n + 3*sqrt(n) + 3 mean jobs. With the limit that operators use now, n + 2*sqrt(n) + 2, it is 0.928 and 0.853.
 func TestMassReplacementWithManyDispatchers(t *testing.T) {
 	for dispatchers, minWorth := range map[int]float64{80: 0.926, 324: 0.851} {
 		t.Run(fmt.Sprint(dispatchers), func(t *testing.T) {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -54,7 +54,7 @@
 	Dispatchers       int
 	Load              float64       // arrival rate as a share of the capacity of the nodes
 	Duration          time.Duration // of the arrivals
-	CompletionTimeout time.Duration // virtual time after the arrivals, after which a trial with open requests ends as timed out; 1 minute if 0
+	CompletionTimeout time.Duration // virtual time after the arrivals at which a trial with open requests times out; 1 minute if 0
 	Parallelism       int           // number of trials that run at the same time; 1 if 0
 }
 
@@ -120,7 +120,7 @@
 	if trial.Policy != OwnPolicy {
 		s.Policy = trial.Policy
 	}
-	i := slices.IndexFunc(p.Scenarios, func(d Scenario) bool { return d.Name == trial.Scenario })
+	i := slices.IndexFunc(p.Scenarios, func(scenario Scenario) bool { return scenario.Name == trial.Scenario })
 	if i < 0 {
 		return s, fmt.Errorf("scenario %q is not in the plan", trial.Scenario)
 	}
@@ -206,14 +206,14 @@
 	Trials                          int
 	Worth, WorthCI                  float64 // mean, and half the width of its 95% confidence interval
 	P50, P99                        float64 // means over the seeds, in milliseconds
-	ViolatingTrials, TimedOutTrials int     // trials that broke a rule, and that timed out
+	ViolatingTrials, TimedOutTrials int     // trials that broke a rule, and those that timed out
 	SendsPerRequest                 float64
 	MeanRealSeconds                 float64
 }
 
 // Summarize summarizes outcomes by scenario and policy, in the order in which these first occur.
 func Summarize(outcomes []Outcome) []Summary {
-	type key struct{ day, policy string }
+	type key struct{ scenario, policy string }
 	var order []key
 	groups := map[key][]Outcome{}
 	for _, o := range outcomes {
@@ -226,7 +226,7 @@
 	var summaries []Summary
 	for _, k := range order {
 		group := groups[k]
-		summary := Summary{Scenario: k.day, Policy: k.policy, Trials: len(group)}
+		summary := Summary{Scenario: k.scenario, Policy: k.policy, Trials: len(group)}
 		var worth []float64
 		sends, requests := 0, 0
 		for _, o := range group {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -18,12 +18,12 @@
 func TestTrialIsDeterministic(t *testing.T) {
 	p := testPlan()
 	require.NoError(t, p.validate())
-	c := Trial{"vanish", OwnPolicy, 2}
-	a, err := p.RunTrial(c)
+	trial := Trial{"vanish", OwnPolicy, 2}
+	a, err := p.RunTrial(trial)
 	require.NoError(t, err)
 	var b Outcome
 	require.NoError(t, Run(context.Background(), p, nil, func(o Outcome) {
-		if o.Trial == c {
+		if o.Trial == trial {
 			b = o
 		}
 	}))
@@ -34,14 +34,14 @@
 // A resumed experiment must run exactly the trials that are not done.
 func TestRunSkipsDoneTrials(t *testing.T) {
 	p := testPlan()
-	cells := p.Trials()
+	trials := p.Trials()
 	done := map[Trial]bool{}
-	for _, c := range cells[:len(cells)/2] {
-		done[c] = true
+	for _, trial := range trials[:len(trials)/2] {
+		done[trial] = true
 	}
 	var got []Trial
 	require.NoError(t, Run(context.Background(), p, done, func(o Outcome) { got = append(got, o.Trial) }))
-	require.ElementsMatch(t, cells[len(cells)/2:], got)
+	require.ElementsMatch(t, trials[len(trials)/2:], got)
 }
 
 // A trial that cannot answer all requests must end at the completion timeout and be reported as timed out.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -100,10 +100,10 @@
 		}
 		require.Equal(t, res.Sent, served)
 		tg.mu.Lock()
-		truth := slices.Sorted(slices.Values(tg.serviceTimes))
+		measured := slices.Sorted(slices.Values(tg.serviceTimes))
 		tg.mu.Unlock()
 		for _, q := range []float64{50, 90, 99} {
-			want := microseconds(truth[int(q/100*float64(len(truth)-1))])
+			want := microseconds(measured[int(q/100*float64(len(measured)-1))])
 			require.InDelta(t, want, float64(res.All.ValueAtQuantile(q)), 0.01*want, "p%v", q)
 		}
 	})
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// waitUntil waits until the given time and reports whether it came before the end of ctx. A timer fires a millisecond or
+// waitUntil waits until the given time and reports whether ctx had not ended by then. A timer fires a millisecond or
 // more late, which would add to the latency of every request. Therefore it sleeps until spinDuration before the time and
 // spins from then on.
 func waitUntil(ctx context.Context, at time.Time) bool {
--- a/internal/lab/rig/environment.go
+++ b/internal/lab/rig/environment.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// startServer starts an HTTP server. If it is that of a node and connections have a budget, it records the states of
-// its connections.
+// startServer starts an HTTP server. The parameter node is empty for discovery. With a connection budget, the server of
+// a node records the states of its connections.
 func (r *Rig) startServer(node string, handler http.HandlerFunc) (addr string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/rig/history.go
+++ b/internal/lab/rig/history.go
@@ -18,7 +18,7 @@
 	ID     string        `json:"id,omitempty"`  // of the request or connection
 	Status int           `json:"status,omitempty"`
 	Amount int64         `json:"amount,omitempty"` // granted: the sum over all holders, in thousandths
-	Whole  int64         `json:"whole,omitempty"`  // granted: the size of the budget, in thousandths
+	Total  int64         `json:"whole,omitempty"`  // granted: the size of the budget, in thousandths
 	Note   string        `json:"note,omitempty"`
 }
 
@@ -111,7 +111,7 @@
 type RepeatLimit struct {
 	Rate, Burst float64 // repeats per second, and burst, over the fleet
 	Share       float64 // repeats that each first attempt adds
-	MaxSaved    float64 // upper bound of the repeats that one process accumulates from Share
+	MaxSaved    float64 // upper limit for the repeats that one process accumulates from Share
 }
 
 // CheckRepeats returns an error if more repeats (attempts after the first of their request) reached nodes in some window
@@ -184,7 +184,7 @@
 				}
 			}
 			if maxOpen = max(maxOpen, open); open > limit {
-				return maxOpen, fmt.Errorf("%v: %d connections at %s, which bears %d", start.from, open, node, limit)
+				return maxOpen, fmt.Errorf("%v: %d connections at %s, %d allowed", start.from, open, node, limit)
 			}
 		}
 	}
@@ -205,7 +205,7 @@
 			}
 			answered[e.ID] = true
 			if e.Status == 200 && (!ran[e.ID] || e.Note != expectedResult(e.ID)) {
-				return fmt.Errorf("%s served with %q", e.ID, e.Note)
+				return fmt.Errorf("%s answered as served with %q, which is not the result of a node", e.ID, e.Note)
 			}
 		}
 	}
@@ -216,21 +216,21 @@
 func CheckExits(events []Event) error {
 	for _, e := range events {
 		if e.Kind == "exit" && e.Note != "<nil>" && e.Note != "signal: killed" {
-			return fmt.Errorf("%v: %s ended: %s", e.At, e.Name, e.Note)
+			return fmt.Errorf("%v: %s exited: %s", e.At, e.Name, e.Note)
 		}
 	}
 	return nil
 }
 
 // CheckGrants returns an error if a voter reported that more was granted than the largest size of the budget so far.
-// After the budget was made smaller, more than its new size stays granted until the holders have confirmed their
-// smaller shares.
+// After a reduction of the budget, more than its new size stays granted until the holders have confirmed their smaller
+// shares.
 func CheckGrants(events []Event) error {
 	largestBudget := int64(0)
 	for _, e := range events {
 		if e.Kind == "granted" {
-			if largestBudget = max(largestBudget, e.Whole); e.Amount > largestBudget {
-				return fmt.Errorf("%v: %d granted of %d, by %s", e.At, e.Amount, largestBudget, e.Name)
+			if largestBudget = max(largestBudget, e.Total); e.Amount > largestBudget {
+				return fmt.Errorf("%v: %d granted of a budget of %d, as reported by %s", e.At, e.Amount, largestBudget, e.Name)
 			}
 		}
 	}
--- a/internal/lab/rig/history_test.go
+++ b/internal/lab/rig/history_test.go
@@ -56,8 +56,8 @@
 
 func TestCheckConnections(t *testing.T) {
 	var events []Event
-	at := func(ms int, what, id string) {
-		events = append(events, Event{At: time.Duration(ms) * time.Millisecond, Kind: "connection " + what, Name: "n", ID: id})
+	at := func(ms int, state, id string) {
+		events = append(events, Event{At: time.Duration(ms) * time.Millisecond, Kind: "connection " + state, Name: "n", ID: id})
 	}
 	at(1, "new", "a")
 	at(1, "active", "a")
@@ -65,16 +65,16 @@
 	at(4, "new", "b")
 	at(4, "active", "b")
 	at(5, "idle", "b")
-	most, err := CheckConnections(events, 1)
+	maxOpen, err := CheckConnections(events, 1)
 	require.NoError(t, err, "the first may have been closed by then")
-	require.Zero(t, most, "neither was certainly open for longer than an instant")
+	require.Zero(t, maxOpen, "neither was certainly open for longer than an instant")
 	at(6, "active", "a")
 	at(7, "idle", "a")
 	at(8, "active", "a")
 	at(9, "active", "b")
-	most, err = CheckConnections(events, 2)
+	maxOpen, err = CheckConnections(events, 2)
 	require.NoError(t, err)
-	require.Equal(t, 2, most)
+	require.Equal(t, 2, maxOpen)
 	_, err = CheckConnections(events, 1)
 	require.ErrorContains(t, err, "2 connections at n")
 }
@@ -84,8 +84,8 @@
 	require.Error(t, CheckAnswers([]Event{{Kind: "answered", ID: "a", Status: 503}, {Kind: "answered", ID: "a", Status: 503}}))
 	require.Error(t, CheckAnswers([]Event{{Kind: "arrived", ID: "a"}, {Kind: "answered", ID: "a", Status: 200, Note: "r-b"}}))
 	require.NoError(t, CheckAnswers([]Event{{Kind: "arrived", ID: "a"}, {Kind: "answered", ID: "a", Status: 200, Note: "r-a"}}))
-	require.Error(t, CheckGrants([]Event{{Kind: "granted", Amount: 11, Whole: 10}}))
-	require.NoError(t, CheckGrants([]Event{{Kind: "granted", Amount: 10, Whole: 10}}))
+	require.Error(t, CheckGrants([]Event{{Kind: "granted", Amount: 11, Total: 10}}))
+	require.NoError(t, CheckGrants([]Event{{Kind: "granted", Amount: 10, Total: 10}}))
 	require.Error(t, CheckExits([]Event{{Kind: "exit", Note: "exit status 2"}}))
 	require.NoError(t, CheckExits([]Event{{Kind: "exit", Note: "<nil>"}, {Kind: "exit", Note: "signal: killed"}}))
 }
--- a/internal/lab/rig/link.go
+++ b/internal/lab/rig/link.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Impairment is how one direction of a link disturbs the data sent over it.
+// Impairment describes how one direction of a link disturbs the data sent over it.
 type Impairment struct {
 	Delay, Jitter time.Duration // each read is forwarded after Delay plus a random time below Jitter
 	Silent        bool          // nothing is forwarded, and the sender gets no error
 	Trickle       int           // bytes per read; 0 for no limit
 }
 
-// Link is a TCP proxy to one address that can impair each direction on its own.
+// Link is a TCP proxy to one address that can impair each direction separately.
 type Link struct {
 	listener net.Listener
 	target   string
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -28,7 +28,7 @@
 	Links                map[string]VoterLinks // by the name of the voter
 
 	mu  sync.Mutex
-	cmd *exec.Cmd // the latest started; nil after Signal has ended it
+	cmd *exec.Cmd // the program started last; nil before the first start and after Signal has ended it
 	// exited is closed when cmd has exited.
 	exited  chan struct{}
 	running map[*exec.Cmd]bool // all running programs: two after StartSecond
--- a/internal/lab/rig/rehearse.go
+++ b/internal/lab/rig/rehearse.go
@@ -16,8 +16,8 @@
 type Rehearsal struct {
 	Options
 	Seed            uint64
-	FaultPeriod     time.Duration // in which faults start
-	RecoveryTimeout time.Duration // in which the whole budget must be granted again after the last fault
+	FaultPeriod     time.Duration // during which faults are started
+	RecoveryTimeout time.Duration // limit on the time from the end of the last fault until the budget is fully granted again
 }
 
 // Outcome is the result of a rehearsal. Violations is empty if every rule held.
@@ -28,7 +28,7 @@
 	Sent           int            `json:"sent"`
 	Arrived        int            `json:"reached"`   // requests that reached nodes
 	Utilization    float64        `json:"used"`      // requests that reached nodes, as a share of what the budget allowed in that time
-	RecoveryLeases float64        `json:"recovered"` // time from the end of the last fault until the whole budget was granted again, in leases
+	RecoveryLeases float64        `json:"recovered"` // time from the end of the last fault until the budget was fully granted again, in leases
 	Overviews      int            `json:"looks"`     // number of ledger overviews read from voters
 
 	Repeats     int `json:"repeats,omitempty"`     // attempts that reached nodes after the first of their request
@@ -104,7 +104,7 @@
 	recoveryCtx, cancel := context.WithTimeout(ctx, plan.RecoveryTimeout)
 	defer cancel()
 	if _, err := fleet.WaitOverview(recoveryCtx, SharedAmong(names...)); err != nil {
-		run.result.Violations = fmt.Sprintf("not whole again within %v: %v", plan.RecoveryTimeout, err)
+		run.result.Violations = fmt.Sprintf("budget not fully granted again within %v: %v", plan.RecoveryTimeout, err)
 	}
 	run.result.RecoveryLeases = time.Since(faultsEnded).Seconds() / plan.Lease.Seconds()
 	elapsed := time.Since(began)
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/rig/rig.go
@@ -3,7 +3,7 @@
 // depend on the speed of the machine.
 //
 // Every process reaches every voter through two links of its own, whose addresses are in its fleet file, so that each
-// pair of processes and each direction can fail on its own.
+// pair of processes and each direction can fail independently.
 package rig
 
 import (
@@ -31,7 +31,7 @@
 
 	Voters     int
 	Members    int // dispatchers, including the voters
-	MaxMembers int // upper bound of the members, live and lapsed ones together
+	MaxMembers int // upper limit for the number of members, live and lapsed ones together
 	Nodes      int
 
 	Lease       time.Duration
@@ -152,7 +152,7 @@
 	overview, err := client.Overview(ctx)
 	if err == nil {
 		for _, b := range overview.Budgets {
-			r.History.add(Event{Kind: "granted", Name: r.processes[voter].Name, Amount: b.Granted, Whole: b.Total})
+			r.History.add(Event{Kind: "granted", Name: r.processes[voter].Name, Amount: b.Granted, Total: b.Total})
 		}
 	}
 	return overview, err
@@ -169,7 +169,7 @@
 				}
 			}
 		}
-		return fmt.Errorf("rig: not met; last seen %+v", last)
+		return fmt.Errorf("rig: condition not met; last ledger overview of the leader: %+v", last)
 	})
 	return last, err
 }
--- a/internal/otlp/otlp_test.go
+++ b/internal/otlp/otlp_test.go
@@ -94,11 +94,11 @@
 			stub.names = append(stub.names, span.Name)
 		}
 	})
-	running, err := collector.Serve(stub.Collector)
+	server, err := collector.Serve(stub.Collector)
 	require.NoError(t, err)
-	t.Cleanup(running.Stop)
-	stub.endpoints = [2]Endpoint{{URL: running.HTTPURL + "/v1/traces", Timeout: 300 * time.Millisecond, Gzip: true},
-		{URL: running.GRPCURL, GRPC: true, Timeout: 300 * time.Millisecond, Gzip: true}}
+	t.Cleanup(server.Stop)
+	stub.endpoints = [2]Endpoint{{URL: server.HTTPURL + "/v1/traces", Timeout: 300 * time.Millisecond, Gzip: true},
+		{URL: server.GRPCURL, GRPC: true, Timeout: 300 * time.Millisecond, Gzip: true}}
 	return stub
 }
 
@@ -115,8 +115,7 @@
 	return b
 }
 
-// startSender runs a Sender with short delays until the returned function is called or the
-// test ends.
+// startSender runs a Sender with short delays until the returned function is called or the test ends.
 func startSender(t *testing.T, endpoint Endpoint, diskSpool *spool.Spool, maxQueueBytes int64) (*Sender, func()) {
 	transport, err := NewTransport(Traces, endpoint)
 	require.NoError(t, err)
@@ -150,13 +149,13 @@
 
 // After each kind of collector failure, the batches arrive in order once the collector has recovered.
 func TestDeliveryResumesInOrderAfterFailure(t *testing.T) {
-	for name, script := range map[string]collector.Behavior{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "reset": {Mode: collector.Reset},
+	for name, behavior := range map[string]collector.Behavior{"stall": {Mode: collector.Stall}, "trickle": {Mode: collector.Trickle}, "reset": {Mode: collector.Reset},
 		"half": {Mode: collector.TruncateResponse}, "cut": {Mode: collector.CloseMidRequest}, "refuse": {Mode: collector.Refuse, Status: 503, Code: codes.Unavailable},
 		"late": {Mode: collector.Delay, Delay: time.Second}} {
 		t.Run(name, func(t *testing.T) {
 			forEachTransport(t, func(t *testing.T, stub *stubCollector, endpoint Endpoint) {
 				t.Parallel()
-				stub.SetBehavior(script)
+				stub.SetBehavior(behavior)
 				sender, _ := startSender(t, endpoint, nil, 1<<20)
 				for i := range 5 {
 					sender.Enqueue(encodedBatch(fmt.Sprint(i)))
--- a/internal/tailsampling/tailsampling.go
+++ b/internal/tailsampling/tailsampling.go
@@ -8,7 +8,7 @@
 // Limits are the limits of a Sampler. An ordinary trace is one that did not fail and was not refused,
 // late, repeated or slow.
 type Limits struct {
-	MaxBytes        int64         // memory for records; as configured, also for the batches to be sent
+	MaxBytes        int64         // memory for records; the configured value includes the senders' queues
 	TracesPerSecond float64       // ordinary traces kept per second
 	SlowThreshold   time.Duration // a request that took at least this long is slow; 0 for none
 }
@@ -26,8 +26,9 @@
 // Reason is why a trace was kept or dropped.
 type Reason string
 
-// The reasons. OutOfMemory and MemoryPressure count what was lost to the memory limit: under
-// MemoryPressure only ordinary traces are dropped, at OutOfMemory no request is recorded.
+// The reasons. MemoryPressure and OutOfMemory count what was lost to the memory limit. Under memory
+// pressure only ordinary traces are dropped. Once no memory is left, no trace is recorded for a new
+// request.
 const (
 	Failed         Reason = "failed"
 	Refused        Reason = "refused"
--- a/internal/tailsampling/tailsampling_test.go
+++ b/internal/tailsampling/tailsampling_test.go
@@ -65,9 +65,9 @@
 		}
 		require.LessOrEqual(t, float64(withinRate), limits.TracesPerSecond*now.Seconds()+max(1, limits.TracesPerSecond)+1)
 		sum := int64(0)
-		for reason, size := range s.Counts() {
+		for reason, count := range s.Counts() {
 			if reason != OutOfMemory {
-				sum += size
+				sum += count
 			}
 		}
 		require.Equal(t, decided, sum, "each decision is counted under exactly one reason")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -310,7 +310,7 @@
 		case endedRecord:
 			t.process(item, now, len(t.batch)-i)
 		}
-		runtime.Gosched() // on a single processor, the core must not wait until the whole batch is processed
+		runtime.Gosched() // on a single processor, the core must not wait for the complete batch
 		if len(t.endedSpans.spans) >= spanBatchSize {
 			t.flushSpans()
 		}
@@ -355,8 +355,8 @@
 	t.endedSpans.spans = t.endedSpans.spans[:0]
 }
 
-// FlushMetrics reads and exports the metrics a last time, while the cores can still be queried. It takes
-// at most closeTimeout.
+// FlushMetrics collects and exports the metrics one last time. It must be called while the cores can still
+// be queried, and returns within closeTimeout.
 func (t *Telemetry) FlushMetrics() {
 	if t.meterProvider == nil {
 		return
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -31,8 +31,8 @@
 	logs  map[string]string // message to trace ID
 }
 
-// startWithCollector starts telemetry that exports to a scripted collector.
-func startWithCollector(t testing.TB, script collector.Behavior, change func(*config.Telemetry)) (*Telemetry, *stubCollector) {
+// startWithCollector starts telemetry that exports to a collector with the given behavior.
+func startWithCollector(t testing.TB, behavior collector.Behavior, change func(*config.Telemetry)) (*Telemetry, *stubCollector) {
 	stub := &stubCollector{logs: map[string]string{}}
 	stub.Collector = collector.New(func(b collector.Batch) {
 		stub.mu.Lock()
@@ -46,7 +46,7 @@
 			}
 		}
 	})
-	stub.SetBehavior(script)
+	stub.SetBehavior(behavior)
 	server, err := collector.Serve(stub.Collector)
 	require.NoError(t, err)
 	t.Cleanup(server.Stop)
@@ -224,10 +224,10 @@
 // BenchmarkRequest measures the total cost of a request with one attempt, on the core's goroutine and on
 // the processing goroutine, with a healthy and with a stalled collector.
 func BenchmarkRequest(b *testing.B) {
-	for name, script := range map[string]collector.Behavior{"healthy": {}, "stalled": {Mode: collector.Stall}} {
+	for name, behavior := range map[string]collector.Behavior{"healthy": {}, "stalled": {Mode: collector.Stall}} {
 		for _, rate := range []float64{20, 1e6} {
-			b.Run(name+map[bool]string{true: "/all kept", false: "/as it comes"}[rate > 20], func(b *testing.B) {
-				tel, _ := startWithCollector(b, script, func(options *config.Telemetry) { options.Sampling.TracesPerSecond = rate })
+			b.Run(name+map[bool]string{true: "/all kept", false: "/rate limited"}[rate > 20], func(b *testing.B) {
+				tel, _ := startWithCollector(b, behavior, func(options *config.Telemetry) { options.Sampling.TracesPerSecond = rate })
 				observer := tel.NewObserver("http", settings)
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -273,10 +273,10 @@
 
 func (d *Decoder) decodeMembers() {
 	event, names := &d.event, d.names[d.event.InstanceID]
-	how := d.text(2, "how", true)
-	kind, ok := updateKinds[string(how)]
+	kindName := d.text(2, "how", true)
+	kind, ok := updateKinds[string(kindName)]
 	if !ok {
-		d.fail("how", fmt.Sprintf("unknown value %q", how))
+		d.fail("how", fmt.Sprintf("unknown value %q", kindName))
 	}
 	if names == nil {
 		d.fail("dispatcher_id", "not up")
