--- a/internal/daemon/oncall_test.go
+++ b/internal/daemon/oncall_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var logCall = regexp.MustCompile(`(?:\b[lL]og\.(?:Info|Warn|Error)\(|\bsay\(\w+, |malformed\(|[cC]omplain\(|warnOnce\(|limitedLog\.Report\(|\.poll\()"([^"]+)"`)
+var logCall = regexp.MustCompile(`(?:\b[lL]og\.(?:Info|Warn|Error)\(|malformed\(|\blogAttempt\(\w+, |warnLimited\(|warnOnce\(|limitedLog\.Report\(|\.poll\()"([^"]+)"`)
 
 // The on-call page has to explain every message that the daemon logs.
 func TestOnCallPageExplainsEveryLogMessage(t *testing.T) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -83,7 +83,7 @@
 	n.config = cfg
 }
 
-// Admit charges one job to the tenant's budget; work is its work in seconds. It implements balance.Shares.
+// Admit charges one job to the tenant's budget; work is its work in seconds. It implements balance.FleetBudget.
 func (n *Node) Admit(tenant int, work float64) (budgeted, ok bool, wait time.Duration) {
 	i, budgeted := n.rateIndex[tenant]
 	if !budgeted {
@@ -100,7 +100,7 @@
 	return true, ok, wait
 }
 
-// CountFirstSend counts the first send of a request. It implements balance.Shares.
+// CountFirstSend counts the first send of a request. It implements balance.FleetBudget.
 func (n *Node) CountFirstSend() {
 	if n.repeatIndex >= 0 {
 		n.mu.Lock()
@@ -110,7 +110,7 @@
 }
 
 // AllowRepeat reports whether one repeat or second copy may be sent. It uses the repeats earned by first sends
-// here before the fleet's budget, which other dispatchers may need. It implements balance.Shares.
+// here before the fleet's budget, which other dispatchers may need. It implements balance.FleetBudget.
 func (n *Node) AllowRepeat() bool {
 	if n.repeatIndex < 0 {
 		return true
