--- a/balance/balance.go
+++ b/balance/balance.go
@@ -277,7 +277,8 @@
 		}
 	case StatusFull:
 		if b.largeFleet {
-			w.setEvidence(noEvidence, -1, b.now) // -1 lowers the probability for longer than the 0 of a late start
+			// -1 lowers the probability for longer than the 0 of a late start.
+			w.setEvidence(noEvidence, -1, b.now)
 		} else {
 			b.setSlots(w, min(w.slots, w.usedSlots))
 		}
--- a/balance/coldstart.go
+++ b/balance/coldstart.go
@@ -53,8 +53,8 @@
 }
 
 // coldAllowance returns the part of a cold worker's budget, in one overload window, that this dispatcher
-// owns. It is 0 outside this dispatcher's turn, and in the first window after its own start, since it may have
-// sent work before a restart that it no longer knows of.
+// owns. It is 0 outside this dispatcher's turn, and in the first window after its own start, since it may
+// have sent work before a restart that it no longer knows of.
 //
 // In a small fleet one dispatcher at a time owns the whole budget, for three windows. It sends nothing in
 // the first of them, in which the previous owner's work still counts. In a large fleet one dispatcher has too
--- a/balance/peers.go
+++ b/balance/peers.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// sendPeerUpdates reports to the other dispatchers which slots this one uses, so that they do not all consider
-// the same worker idle. Between heartbeats it sends only the changes.
+// sendPeerUpdates reports to the other dispatchers which slots this one uses, so that they do not all
+// consider the same worker idle. Between heartbeats it sends only the changes.
 func (b *Balancer) sendPeerUpdates() {
 	if !b.settings.AllowPeerMessages || b.largeFleet {
 		return
--- a/balance/thresholds.go
+++ b/balance/thresholds.go
@@ -56,8 +56,8 @@
 }
 
 // CopyThresholds returns the elapsed time after which a job that runs on a worker of the first kind, with
-// samples x1, is copied to one of the second kind, with samples x2, and the time for the reverse direction. lag
-// is the time from the send of a copy to its start. Each threshold is the best one while the other is
+// samples x1, is copied to one of the second kind, with samples x2, and the time for the reverse direction.
+// lag is the time from the send of a copy to its start. Each threshold is the best one while the other is
 // infinite, by equation (27) of the paper. Both are finite only if equation (23) then promises at least the
 // throughput of either alone.
 func CopyThresholds(x1, x2, sizes []float64, lag float64) (forward, reverse float64) {
