--- a/cmd/tinroute/external_names_test.go
+++ b/cmd/tinroute/external_names_test.go
@@ -27,6 +27,7 @@
 // source collects the string literals and command-line names of the program's Go files, without tests.
 type source struct {
 	literals strings.Builder // every string literal, struct tags among them
+	names    strings.Builder // those that are no prose: a log message must not stand in for a name
 	flags    map[string]bool // command-line names that kong derives from struct fields
 }
 
@@ -42,6 +43,9 @@
 				text, err := strconv.Unquote(n.Value)
 				require.NoError(t, err)
 				s.literals.WriteString(text + "\x00")
+				if text = helpText.ReplaceAllString(text, ""); !isProse(text) {
+					s.names.WriteString(text + "\x00")
+				}
 			}
 		case *ast.StructType:
 			s.addFlags(n)
@@ -50,6 +54,14 @@
 	})
 }
 
+var helpText = regexp.MustCompile(`help:"[^"]*"`)
+
+// isProse reports whether a literal is a message: words with spaces, and neither a tag or JSON text, which
+// have quotes, nor a line of a settings file or of a protocol.
+func isProse(text string) bool {
+	return strings.Contains(text, " ") && !strings.ContainsAny(text, "\"=\r\n\t")
+}
+
 var kongTag = regexp.MustCompile(`(help|cmd|arg):"`)
 
 func (s *source) addFlags(n *ast.StructType) {
@@ -77,6 +89,10 @@
 	if s.flags[name] {
 		return true
 	}
+	text := s.names.String()
+	if strings.Contains(name, " ") {
+		text = s.literals.String()
+	}
 	pattern := regexp.QuoteMeta(name)
 	if isWordByte(name[0]) {
 		pattern = `(?:^|[^A-Za-z0-9_])` + pattern
@@ -84,7 +100,7 @@
 	if isWordByte(name[len(name)-1]) {
 		pattern += `(?:$|[^A-Za-z0-9_])`
 	}
-	return regexp.MustCompile(pattern).MatchString(s.literals.String())
+	return regexp.MustCompile(pattern).MatchString(text)
 }
 
 func isWordByte(b byte) bool {
