--- a/cmd/conform/main.go
+++ b/cmd/conform/main.go
@@ -29,16 +29,16 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	player := conform.Player{Wait: *wait, Vars: conform.Vars{"$f": *function}, Dial: func(ctx context.Context) (net.Conn, error) {
+	player := conform.Runner{Timeout: *wait, Vars: conform.Vars{"$f": *function}, Dial: func(ctx context.Context) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "tcp", flag.Arg(0))
 	}}
 	passed, failed, skipped := 0, 0, 0
 	for _, c := range cases {
-		if c.Needs("server") || c.Needs("worker") || c.Needs("ours") && !*tinrouteCases || c.Needs("store") && !*store || c.Needs("nostore") && *store {
+		if c.HasTag("server") || c.HasTag("worker") || c.HasTag("ours") && !*tinrouteCases || c.HasTag("store") && !*store || c.HasTag("nostore") && *store {
 			skipped++
 			continue
 		}
-		if err := player.Play(context.Background(), c); err != nil {
+		if err := player.Run(context.Background(), c); err != nil {
 			failed++
 			fmt.Printf("FAIL %s\n     %v\n", c.Name, err)
 			continue
--- a/cmd/otlpview/main.go
+++ b/cmd/otlpview/main.go
@@ -31,7 +31,7 @@
 	}
 	failures := make(chan error, 3)
 	sink := collector.New(func(batch collector.Batch) {
-		if err := collector.Write(f, batch); err != nil {
+		if err := collector.WriteBatch(f, batch); err != nil {
 			failures <- err
 		}
 	})
@@ -46,7 +46,7 @@
 	go func() {
 		failures <- (&http.Server{Handler: sink, ReadHeaderTimeout: 10 * time.Second}).Serve(httpListener)
 	}()
-	grpcServer := sink.GRPC()
+	grpcServer := sink.NewGRPCServer()
 	go func() { failures <- grpcServer.Serve(grpcListener) }()
 	fmt.Fprintf(os.Stderr, "receiving OTLP over HTTP on %s and over gRPC on %s\n", httpListener.Addr(), grpcListener.Addr())
 	signals := make(chan os.Signal, 1)
@@ -81,10 +81,10 @@
 
 func (r *reportCommand) write(in io.Reader, out io.Writer) error {
 	var spans []*collector.Span
-	if err := collector.Read(in, func(batch collector.Batch) { spans = append(spans, collector.Spans(batch)...) }); err != nil {
+	if err := collector.ReadBatches(in, func(batch collector.Batch) { spans = append(spans, collector.BatchSpans(batch)...) }); err != nil {
 		return err
 	}
-	if err := collector.Report(out, spans, collector.Question{Class: r.Class, From: r.From, To: r.To, Slowest: r.Slowest}); err != nil {
+	if err := collector.WriteReport(out, spans, collector.ReportOptions{Class: r.Class, From: r.From, To: r.To, Slowest: r.Slowest}); err != nil {
 		return err
 	}
 	if r.Check {
--- a/deploy/sites/variants.go
+++ b/deploy/sites/variants.go
@@ -1,12 +1,12 @@
 //go:build ignore
 
-// Variants makes the site files of other customers from the platform's own: each override file in
-// this folder is merged into the site file, and the files that the bench wants beside it are copied.
+// Command variants generates site files for other customers: it merges each override file of this directory into the
+// platform's site file, and copies the files that the bench expects next to it.
 //
 //	go run deploy/sites/variants.go ../given/kit/sites
 //
-// The results go to deploy/sites/made, which git ignores. Tables are merged key by key and arrays
-// of tables by their place; every other value of an override replaces the site's.
+// The results are written to deploy/sites/made, which is in .gitignore. Tables are merged by key and arrays of tables by
+// index; any other value of an override replaces that of the site file.
 package main
 
 import (
@@ -19,52 +19,54 @@
 )
 
 const (
-	overrides = "deploy/sites"
-	results   = "deploy/sites/made"
-	base      = "agadir-prix.toml"
+	overridesDir = "deploy/sites"
+	resultsDir   = "deploy/sites/made"
+	baseFile     = "agadir-prix.toml"
 )
 
-// beside are the files that the bench looks for next to a site file.
-var beside = []string{"real.json", "wire.json", "design.json", "ops.json", "unlock.txt"}
+// companionFiles are the files that the bench expects next to a site file.
+var companionFiles = []string{"real.json", "wire.json", "design.json", "ops.json", "unlock.txt"}
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "usage: go run deploy/sites/variants.go FOLDER-OF-THE-SITE-FILE")
+		fmt.Fprintln(os.Stderr, "usage: go run deploy/sites/variants.go DIRECTORY-OF-THE-SITE-FILE")
 		os.Exit(2)
 	}
-	if err := makeAll(os.Args[1]); err != nil {
+	if err := generateAll(os.Args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, "variants:", err)
 		os.Exit(1)
 	}
 }
 
-func makeAll(kit string) error {
-	files, err := filepath.Glob(filepath.Join(overrides, "*.toml"))
+// generateAll generates the site files for all override files.
+func generateAll(siteDir string) error {
+	files, err := filepath.Glob(filepath.Join(overridesDir, "*.toml"))
 	if err != nil {
 		return err
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".toml")
-		if err := makeOne(kit, file, filepath.Join(results, name)); err != nil {
+		if err := generate(siteDir, file, filepath.Join(resultsDir, name)); err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
 	}
 	return nil
 }
 
-func makeOne(kit, file, folder string) error {
+// generate writes the site file for one override file, with its companion files, to outDir.
+func generate(siteDir, file, outDir string) error {
 	var site, override map[string]any
-	if _, err := toml.DecodeFile(filepath.Join(kit, base), &site); err != nil {
+	if _, err := toml.DecodeFile(filepath.Join(siteDir, baseFile), &site); err != nil {
 		return err
 	}
 	if _, err := toml.DecodeFile(file, &override); err != nil {
 		return err
 	}
 	merge(site, override)
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(outDir, 0o755); err != nil {
 		return err
 	}
-	out, err := os.Create(filepath.Join(folder, "site.toml"))
+	out, err := os.Create(filepath.Join(outDir, "site.toml"))
 	if err != nil {
 		return err
 	}
@@ -74,18 +76,19 @@
 	if err := out.Close(); err != nil {
 		return err
 	}
-	for _, name := range beside {
-		data, err := os.ReadFile(filepath.Join(kit, name))
+	for _, name := range companionFiles {
+		data, err := os.ReadFile(filepath.Join(siteDir, name))
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(filepath.Join(folder, name), data, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(outDir, name), data, 0o644); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// merge merges override into site.
 func merge(site, override map[string]any) {
 	for key, value := range override {
 		switch value := value.(type) {
--- a/example/hooks.star
+++ b/example/hooks.star
@@ -1,6 +1,6 @@
-# An example of the operators' own rules. Name it in the configuration: "hooks": ["example/hooks.star"].
+# An example of hooks with custom rules. To use it, set "hooks": ["example/hooks.star"] in the configuration.
 
-# A fund family whose pricing is closed, for as long as it takes to reopen it.
+# Tenants whose pricing is closed, each with the seconds after which clients may retry.
 CLOSED = {"souss-actions": 1.5}
 
 def on_transaction(tx):
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -31,20 +31,20 @@
 	if len(fields) < 4 || len(fields) > 5 {
 		return f, fmt.Errorf("--fail %q: want KIND,AT,FOR,SHARE[,SIZE]", text)
 	}
-	f.Kind = emulate.Kind(fields[0])
-	if !slices.Contains([]emulate.Kind{emulate.Vanish, emulate.Slow, emulate.Hang, emulate.Refuse, emulate.Fail, emulate.Reset, emulate.Pause, emulate.Drain,
+	f.Kind = emulate.FailureKind(fields[0])
+	if !slices.Contains([]emulate.FailureKind{emulate.Vanish, emulate.Slow, emulate.Hang, emulate.Refuse, emulate.Fail, emulate.Reset, emulate.Pause, emulate.Drain,
 		emulate.Outage, emulate.Cost, emulate.Replace}, f.Kind) {
 		return f, fmt.Errorf("--fail %q: unknown kind of failure", text)
 	}
 	var errs [4]error
 	f.At, errs[0] = time.ParseDuration(fields[1])
-	f.For, errs[1] = time.ParseDuration(fields[2])
+	f.Duration, errs[1] = time.ParseDuration(fields[2])
 	f.Share, errs[2] = strconv.ParseFloat(fields[3], 64)
-	f.Size = 1
+	f.Magnitude = 1
 	if len(fields) == 5 {
-		f.Size, errs[3] = strconv.ParseFloat(fields[4], 64)
+		f.Magnitude, errs[3] = strconv.ParseFloat(fields[4], 64)
 	}
-	if err := errors.Join(errs[:]...); err != nil || f.At < 0 || f.For < 0 || f.Share < 0 || f.Share > 1 || f.Size < 0 {
+	if err := errors.Join(errs[:]...); err != nil || f.At < 0 || f.Duration < 0 || f.Share < 0 || f.Share > 1 || f.Magnitude < 0 {
 		return f, fmt.Errorf("--fail %q: invalid time, share or size", text)
 	}
 	return f, nil
@@ -55,8 +55,8 @@
 	if cmd.Nodes < 1 || cmd.Load <= 0 {
 		return errors.New("--nodes and --load must be above 0")
 	}
-	scenario := emulate.Shop(cmd.Nodes, cmd.Dispatchers, cmd.Load)
-	scenario.Seed, scenario.Length, scenario.Policy = cmd.Seed, cmd.Length, cmd.Policy
+	scenario := emulate.PricingScenario(cmd.Nodes, cmd.Dispatchers, cmd.Load)
+	scenario.Seed, scenario.Duration, scenario.Policy = cmd.Seed, cmd.Length, cmd.Policy
 	for _, text := range cmd.Fail {
 		failure, err := parseFailure(text)
 		if err != nil {
@@ -69,26 +69,26 @@
 		return err
 	}
 	if cmd.Trace {
-		emulation.Trace = func(line string) { fmt.Fprintln(r.Out, line) }
+		emulation.OnEvent = func(line string) { fmt.Fprintln(r.Out, line) }
 	}
 	began := time.Now()
-	result := emulation.Play(2 * time.Minute)
+	result := emulation.Run(2 * time.Minute)
 	fmt.Fprintf(r.Out, "%d requests, %d sends, %d served in time, worth %.3f; %v played in %v; event log %016x\n", result.Requests, result.Sends, result.InTime, result.Worth,
-		result.End.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), result.Log)
+		result.Elapsed.Round(time.Millisecond), time.Since(began).Round(time.Millisecond), result.LogHash)
 	for _, key := range slices.Sorted(maps.Keys(result.Answers)) {
 		fmt.Fprintf(r.Out, "  %-20s %6d\n", key, result.Answers[key])
 	}
-	for _, key := range slices.Sorted(maps.Keys(result.Took)) {
-		times := slices.Sorted(slices.Values(result.Took[key]))
+	for _, key := range slices.Sorted(maps.Keys(result.Latencies)) {
+		times := slices.Sorted(slices.Values(result.Latencies[key]))
 		fmt.Fprintf(r.Out, "  %-20s p50 %v  p99 %v\n", key, times[len(times)/2].Round(time.Millisecond), times[len(times)*99/100].Round(time.Millisecond))
 	}
-	if result.Pushed > 0 {
-		fmt.Fprintf(r.Out, "  cold nodes: a second brought at most %.2f of what pushes one over\n", result.Pushed)
+	if result.MaxColdLoad > 0 {
+		fmt.Fprintf(r.Out, "  cold nodes: a second brought at most %.2f of what pushes one over\n", result.MaxColdLoad)
 	}
-	for _, b := range result.Broken {
+	for _, b := range result.Violations {
 		fmt.Fprintln(r.Out, "  broken:", b)
 	}
-	if len(result.Broken) > 0 {
+	if len(result.Violations) > 0 {
 		return errRulesViolated
 	}
 	return nil
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -178,19 +178,19 @@
 			}
 			var repeats *rig.RepeatLimit
 			if cmd.Repeats > 0 {
-				repeats = &rig.RepeatLimit{Rate: cmd.Repeats, Burst: float64(2*cmd.Processes + 10), Share: 0.1, Saved: 1}
+				repeats = &rig.RepeatLimit{Rate: cmd.Repeats, Burst: float64(2*cmd.Processes + 10), Share: 0.1, MaxSaved: 1}
 			}
-			outcome, history, err := rig.Rehearse(ctx, rig.Plan{Options: rig.Options{Repeats: repeats, Connections: cmd.Sockets, Dir: dir, Program: []string{program, "serve"}, Voters: cmd.Voters, Members: cmd.Processes,
-				Room: 2 * cmd.Processes, Nodes: 4, Lease: cmd.Lease, Whole: 100, Burst: float64(2*cmd.Processes + 10), Floor: 1, Work: 10 * time.Millisecond},
-				Seed: cmd.Seed + uint64(i), Length: cmd.Length, Within: cmd.Within})
+			outcome, history, err := rig.Rehearse(ctx, rig.Rehearsal{Options: rig.Options{RepeatBudget: repeats, ConnectionBudget: cmd.Sockets, Dir: dir, Program: []string{program, "serve"}, Voters: cmd.Voters, Members: cmd.Processes,
+				MaxMembers: 2 * cmd.Processes, Nodes: 4, Lease: cmd.Lease, BudgetRate: 100, Burst: float64(2*cmd.Processes + 10), Floor: 1, JobDuration: 10 * time.Millisecond},
+				Seed: cmd.Seed + uint64(i), FaultPeriod: cmd.Length, RecoveryTimeout: cmd.Within})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				outcome.Broken = "rig: " + err.Error()
+				outcome.Violations = "rig: " + err.Error()
 			}
 			fmt.Fprintf(r.Out, "seed %d: %s; %d sent, %d reached nodes, %.2f of the whole used, whole again after %.1f leases\n", outcome.Seed,
-				cmp.Or(outcome.Broken, "kept"), outcome.Sent, outcome.Reached, outcome.Used, outcome.Recovered)
-			if outcome.Broken != "" || cmd.Keep {
+				cmp.Or(outcome.Violations, "kept"), outcome.Sent, outcome.Arrived, outcome.Utilization, outcome.RecoveryLeases)
+			if outcome.Violations != "" || cmd.Keep {
 				fmt.Fprintf(r.Out, "  kept in %s\n", dir)
 				if f, err := os.Create(filepath.Join(dir, "history.jsonl")); err == nil && history != nil {
 					_ = history.Write(f)
@@ -202,7 +202,7 @@
 			if err := json.NewEncoder(results).Encode(outcome); err != nil {
 				return err
 			}
-			if outcome.Broken != "" {
+			if outcome.Violations != "" {
 				return errRuleViolated
 			}
 			return nil
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -97,8 +97,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	options := load.Options{Target: cmd.Target, Classes: classes, Owner: owner, Rate: cmd.Rate, Clients: cmd.Clients, For: cmd.For,
-		Shape: cmd.Shape, Swing: cmd.Swing, Period: cmd.Period, Poisson: cmd.Poisson, Connections: cmd.Connections, Seed: cmd.Seed}
+	options := load.Options{Target: cmd.Target, Classes: classes, Owner: owner, Rate: cmd.Rate, Clients: cmd.Clients, Duration: cmd.For,
+		Shape: cmd.Shape, Amplitude: cmd.Swing, Period: cmd.Period, Poisson: cmd.Poisson, Connections: cmd.Connections, Seed: cmd.Seed}
 	result, err := load.Run(ctx, options, func(sent, due int) {
 		switch { // one line rewritten in place on a terminal, otherwise a line for each update
 		case cmd.JSON:
@@ -119,7 +119,7 @@
 		}
 		printSummary(r.Out, result)
 	}
-	if !result.Held {
+	if !result.RateHeld {
 		return errRateNotSustained
 	}
 	return nil
@@ -129,15 +129,15 @@
 func printSummary(out io.Writer, result *load.Result) {
 	printf := func(format string, a ...any) { fmt.Fprintf(out, format+"\n", a...) }
 	ms := func(us int64) string { return strconv.FormatFloat(float64(us)/1000, 'f', 1, 64) }
-	printf("sent %d of %d due; %.1f a second of %.1f asked; sent at most %v late", result.Sent, result.Asked, result.Got, result.Wanted,
-		result.MostLag.Round(time.Microsecond))
+	printf("sent %d of %d due; %.1f a second of %.1f asked; sent at most %v late", result.Sent, result.Due, result.SentRate, result.TargetRate,
+		result.MaxLag.Round(time.Microsecond))
 	printf("%-14s %8s %8s %8s %8s %8s %8s %8s %8s", "class", "served", "refused", "failed", "broken", "p50 ms", "p90", "p99", "max")
 	for _, c := range result.Classes {
 		latency := c.Latency
-		printf("%-14s %8d %8d %8d %8d %8s %8s %8s %8s", c.Name, c.Served, c.Refused, c.Failed, c.Broken,
+		printf("%-14s %8d %8d %8d %8d %8s %8s %8s %8s", c.Name, c.Served, c.Refused, c.Failed, c.Unanswered,
 			ms(latency.ValueAtQuantile(50)), ms(latency.ValueAtQuantile(90)), ms(latency.ValueAtQuantile(99)), ms(latency.Max()))
 	}
-	if !result.Held {
+	if !result.RateHeld {
 		printf("the rate was not held: the target, or this machine, could not take it")
 	}
 }
@@ -168,11 +168,11 @@
 		P50Micros    int64   `json:"P50"`
 		P99Micros    int64   `json:"P99"`
 		MaxMicros    int64   `json:"MaxUS"`
-	}{Due: result.Asked, Sent: result.Sent, WantedRate: result.Wanted, SentRate: result.Got, Sustained: result.Held, MaxLagMicros: result.MostLag.Microseconds(),
+	}{Due: result.Due, Sent: result.Sent, WantedRate: result.TargetRate, SentRate: result.SentRate, Sustained: result.RateHeld, MaxLagMicros: result.MaxLag.Microseconds(),
 		P50Micros: result.All.ValueAtQuantile(50), P99Micros: result.All.ValueAtQuantile(99), MaxMicros: result.All.Max()}
 	for _, c := range result.Classes {
 		latency := c.Latency
-		output.Classes = append(output.Classes, class{c.Name, c.Served, c.Refused, c.Failed, c.Broken, c.Statuses,
+		output.Classes = append(output.Classes, class{c.Name, c.Served, c.Refused, c.Failed, c.Unanswered, c.Statuses,
 			latency.ValueAtQuantile(50), latency.ValueAtQuantile(90), latency.ValueAtQuantile(99), latency.ValueAtQuantile(99.9), latency.Max()})
 	}
 	_ = json.NewEncoder(out).Encode(output)
--- a/internal/lab/collector/serve.go
+++ b/internal/lab/collector/serve.go
@@ -5,30 +5,30 @@
 	"net/http"
 )
 
-// Running is a collector that serves on loopback, over both transports.
-type Running struct {
+// Server is a collector that listens on loopback for HTTP and gRPC.
+type Server struct {
 	*Collector
-	HTTP, GRPC string // URLs, without a path
-	stop       func()
+	HTTPURL, GRPCURL string // URLs without a path
+	stop             func()
 }
 
-// Serve serves a collector on ports that the system picks.
-func Serve(c *Collector) (*Running, error) {
-	web, err := net.Listen("tcp", "127.0.0.1:0")
+// Serve starts a server for the collector on free ports.
+func Serve(c *Collector) (*Server, error) {
+	httpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	rpc, err := net.Listen("tcp", "127.0.0.1:0")
+	grpcListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		_ = web.Close()
+		_ = httpListener.Close()
 		return nil, err
 	}
-	h, g := &http.Server{Handler: c}, c.GRPC()
-	go func() { _ = h.Serve(web) }()
-	go func() { _ = g.Serve(rpc) }()
-	return &Running{Collector: c, HTTP: "http://" + web.Addr().String(), GRPC: "http://" + rpc.Addr().String(),
-		stop: func() { c.Close(); _ = h.Close(); g.Stop() }}, nil
+	httpServer, grpcServer := &http.Server{Handler: c}, c.NewGRPCServer()
+	go func() { _ = httpServer.Serve(httpListener) }()
+	go func() { _ = grpcServer.Serve(grpcListener) }()
+	return &Server{Collector: c, HTTPURL: "http://" + httpListener.Addr().String(), GRPCURL: "http://" + grpcListener.Addr().String(),
+		stop: func() { c.Close(); _ = httpServer.Close(); grpcServer.Stop() }}, nil
 }
 
-// Stop ends it, and what stalls there.
-func (r *Running) Stop() { r.stop() }
+// Stop stops the server and its open requests.
+func (r *Server) Stop() { r.stop() }
--- a/internal/lab/emulate/shop.go
+++ b/internal/lab/emulate/pricing.go
@@ -7,17 +7,18 @@
 	"tinroute.example/tinroute/balance"
 )
 
-// Shop is a scenario of a pricing shop: nodes of three kinds in three zones, two to a cell, three
-// classes of which two are keyed, and a load that takes a share of what the nodes can do.
-func Shop(nodes, dispatchers int, load float64) Scenario {
-	s := Scenario{Dispatchers: dispatchers, Length: time.Minute, Network: 3 * time.Millisecond, Discovery: 2 * time.Second, WarmUp: 8 * time.Second, ColdFrom: 0.4,
+// PricingScenario returns a scenario that models a pricing service: nodes of three kinds in three zones with two
+// nodes per cell, and three classes, two of which carry idempotency keys. Load is the arrival rate as a share of
+// the total capacity of the nodes.
+func PricingScenario(nodes, dispatchers int, load float64) Scenario {
+	s := Scenario{Dispatchers: dispatchers, Duration: time.Minute, NetworkDelay: 3 * time.Millisecond, DiscoveryDelay: 2 * time.Second, WarmUp: 8 * time.Second, ColdCapacity: 0.4,
 		Classes: []ClassSpec{
 			{Class: balance.Class{Name: "price-read", Target: 200 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second, Worth: 1, LateWorth: 0.3, Idempotency: balance.Idempotent},
-				Share: 0.7, Mean: 400 * time.Millisecond, Sigma: 0.5, Tries: 3},
+				Share: 0.7, MeanWork: 400 * time.Millisecond, Sigma: 0.5, MaxTries: 3},
 			{Class: balance.Class{Name: "price-fix", Target: 200 * time.Millisecond, Stretch: 1.75, Deadline: 5 * time.Second, Worth: 2, LateWorth: 0.3, Idempotency: balance.Deduplicated,
-				DedupScope: balance.ScopeCell, DedupWindow: 7500 * time.Millisecond}, Share: 0.17, Mean: 200 * time.Millisecond, Sigma: 0.4, Tries: 3},
+				DedupScope: balance.ScopeCell, DedupWindow: 7500 * time.Millisecond}, Share: 0.17, MeanWork: 200 * time.Millisecond, Sigma: 0.4, MaxTries: 3},
 			{Class: balance.Class{Name: "nav-run", Target: 750 * time.Millisecond, Stretch: 1.75, Deadline: 25 * time.Second, Worth: 2, LateWorth: 0.4, Idempotency: balance.Deduplicated,
-				DedupScope: balance.ScopeZone, DedupWindow: 40 * time.Second}, Share: 0.13, Mean: 2500 * time.Millisecond, Sigma: 0.4, Tries: 2}}}
+				DedupScope: balance.ScopeZone, DedupWindow: 40 * time.Second}, Share: 0.13, MeanWork: 2500 * time.Millisecond, Sigma: 0.4, MaxTries: 2}}}
 	capacity := 0.0
 	for i := range nodes {
 		n := NodeSpec{Name: fmt.Sprintf("s-%08x", i+1), Zone: i % 3, Cell: i / 2, Kind: i % 3, Queue: 4}
